--- a/bench/_fleet_store.py
+++ b/bench/_fleet_store.py
@@ -48,7 +48,7 @@
     backends_topic = "backends"
     status_topic = "status"
 
-    def decode_operators(
+    def decode_operator_record(
         self, record: Record
     ) -> RoutingConfiguration | RolloutOrder | Evacuation | None:
         """Decode a configuration or an evacuation."""
@@ -77,20 +77,22 @@
             expected_end=expected_end,
         )
 
-    def decode_held(self, record: Record, *, unix_now: float) -> Held | None:
+    def decode_quarantined(self, record: Record, *, unix_now: float) -> Held | None:
         """Decode a request that is held; nothing for other records there."""
         if not record.key.startswith(HELD_PREFIX) or not record.value:
             return None
         return msgspec.json.decode(record.value, type=Held)
 
-    def encode_held(self, held: Held, expected_end: int, *, unix_now: float) -> Append:
+    def encode_quarantined(
+        self, entry: Held, expected_end: int, *, unix_now: float
+    ) -> Append:
         """Return the record of a request that is held."""
         return msgspec.structs.replace(
-            self.drop_held(held.fingerprint, expected_end),
-            value=msgspec.json.encode(held),
+            self.encode_release(entry.fingerprint, expected_end),
+            value=msgspec.json.encode(entry),
         )
 
-    def drop_held(self, fingerprint: str, expected_end: int) -> Append:
+    def encode_release(self, fingerprint: str, expected_end: int) -> Append:
         """Return the record that removes a request that is held no more."""
         return Append(
             topic=self.status_topic,
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -7,7 +7,7 @@
 import json
 import random
 
-from tests.platform.fakecallers import HOST, read_answer
+from tests.platform.fakecallers import HOST, read_response
 
 from soak.history import Call, Kind, now
 from soak.site import Crashing, Site
@@ -115,16 +115,19 @@
         writer.write(self._render(call))
         await writer.drain()
         call.wrote_all = True
-        answer = await read_answer(reader)
+        answer = await read_response(reader)
         call.status = answer.status
-        call.whole = answer.whole
+        call.whole = answer.is_complete
         call.signed = "x-response-signature" in answer.headers
         call.own_id = answer.headers.get("x-attempt-id") == call.id
         call.body = answer.body[:64]
         call.event_ids = answer.event_ids
         if call.kind.is_stream and answer.status == 200:
-            call.stray = answer.stray[:64]
-        if not answer.whole or answer.headers.get("connection", "").lower() == "close":
+            call.stray = answer.stray_bytes[:64]
+        if (
+            not answer.is_complete
+            or answer.headers.get("connection", "").lower() == "close"
+        ):
             self._drop(address)
 
     def _render(self, call: Call) -> bytes:
@@ -160,7 +163,7 @@
     try:
         request = f"GET /-/resolve?name={HOST}&zone=z0 HTTP/1.1\r\nHost: x\r\n\r\n"
         writer.write(request.encode())
-        answer = await read_answer(reader)
+        answer = await read_response(reader)
         return list(json.loads(answer.body)["addresses"])
     finally:
         writer.close()
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -123,7 +123,7 @@
     """Drop the history: only the newest record of each key is left."""
     with site.note("store forgets"):
         for topic, records in site.store.topics.items():
-            site.store.first[topic] = len(records)
+            site.store.first_offsets[topic] = len(records)
         await asyncio.sleep(0.5)
 
 
--- a/soak/site.py
+++ b/soak/site.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import msgspec
-from tests.platform.fakes import FakeBackend, Seen
+from tests.platform.fakes import FakeBackend, ReceivedRequest
 from tests.platform.fakestore import BACKENDS, OPERATORS, FakeStore
 from tests.platform.site import TIME_LIMIT_MS, make_configuration, route
 
@@ -307,7 +307,9 @@
         await asyncio.sleep(LAPSE_S)
         self.remove_backend(backend)
 
-    def _note_run(self, backend: FakeBackend, seen: Seen, executed: bool) -> None:
+    def _note_run(
+        self, backend: FakeBackend, seen: ReceivedRequest, executed: bool
+    ) -> None:
         headers = seen.headers
         held = self.backends.get(backend.id)
         self.history.runs.append(
--- a/soak/weakened.py
+++ b/soak/weakened.py
@@ -16,7 +16,7 @@
     flight,
     restrictions,
 )
-from baobabthread.instance.wire import AnswerMarks
+from baobabthread.instance.wire import ResponseMetadata
 from baobabthread.logs import log_event
 from baobabthread.platform import __main__ as program
 from baobabthread.platform import headers
@@ -113,7 +113,7 @@
     """Take a success without a signature, or of another request, for the answer."""
     ask = attempts.Attempt._check
 
-    def check(self: attempts.Attempt, marks: AnswerMarks, status: int) -> None:
+    def check(self: attempts.Attempt, marks: ResponseMetadata, status: int) -> None:
         try:
             ask(self, marks, status)
         except connections.BrokenError:
@@ -126,8 +126,8 @@
 @WEAKENED.register("pass the key on")
 def pass_key_on(safeguard: Safeguard) -> None:
     """Leave the caller's key and account in what a backend server gets."""
-    ours = frozenset(headers._OURS)
-    encode = headers.PlatformWire.encode_request
+    ours = frozenset(headers._RESERVED_HEADERS)
+    encode = headers.PlatformWireFormat.encode_request
 
     def encode_request(
         self: Any, method: str, target: str, fields: Any, *rest: Any
@@ -136,8 +136,8 @@
         return encode(self, method, target, fields, *rest)
 
     if safeguard.is_overruled:
-        headers._OURS.clear()
-    headers.PlatformWire.encode_request = encode_request  # type: ignore
+        headers._RESERVED_HEADERS.clear()
+    headers.PlatformWireFormat.encode_request = encode_request  # type: ignore
 
 
 @WEAKENED.register("forget crashes")
--- a/src/baobabthread/instance/answers.py
+++ b/src/baobabthread/instance/answers.py
@@ -11,7 +11,7 @@
 from baobabthread.instance.estimates import Estimates
 from baobabthread.instance.events import EventCutter
 from baobabthread.instance.flight import Flight
-from baobabthread.instance.records import FlightLog
+from baobabthread.instance.requestlog import RequestLog
 from baobabthread.instance.selection import Prospect, Selection
 from baobabthread.instance.services import ServiceState
 from baobabthread.instance.wire import WireFormat
@@ -38,7 +38,7 @@
         models: ModelChoice,
         selection: Selection,
         off: Switches,
-        log: FlightLog,
+        log: RequestLog,
     ) -> None:
         self._wire = wire
         self._estimates = estimates
@@ -88,8 +88,8 @@
     async def _pass_on(
         self, flight: Flight, attempt: Attempt, head: Head, body: bytes
     ) -> None:
-        headers = self._wire.pass_headers(head.response.raw_headers)
-        self._log.answered(flight, attempt.link.record, head.status)
+        headers = self._wire.filter_response_headers(head.response.raw_headers)
+        self._log.record_response(flight, attempt.link.record, head.status)
         await flight.reply.answer(head.status, headers, body)
 
     async def _judge_model(
@@ -159,7 +159,7 @@
         """Pass a stream on event by event."""
         reply = flight.reply
         if not reply.has_begun:
-            headers = self._wire.pass_headers(head.response.raw_headers)
+            headers = self._wire.filter_response_headers(head.response.raw_headers)
             flight.first_s = now() - flight.started_at
             await reply.begin(head.status, headers)
         cutter = EventCutter(passed=flight.last_event)
@@ -174,7 +174,7 @@
             raise BrokenError("stream ended within an event")
         attempt.finish()
         self._estimates.observe_stream(flight, head.latency_s, now() - first_at)
-        self._log.answered(flight, attempt.link.record, head.status)
+        self._log.record_response(flight, attempt.link.record, head.status)
         await reply.finish()
 
     async def _read_event(self, flight: Flight, attempt: Attempt) -> bytes:
--- a/src/baobabthread/instance/attempts.py
+++ b/src/baobabthread/instance/attempts.py
@@ -18,7 +18,7 @@
     Response,
 )
 from baobabthread.instance.flight import Flight
-from baobabthread.instance.wire import AnswerMarks, BackendCall, WireFormat
+from baobabthread.instance.wire import BackendCall, ResponseMetadata, WireFormat
 
 PLAIN_PATIENCE_S = 0.4
 """Silence after which an attempt at a plain service that may be repeated is given up:
@@ -67,7 +67,7 @@
     """Hold the head of an answer that belongs to this request."""
 
     response: Response
-    marks: AnswerMarks
+    marks: ResponseMetadata
     latency_s: float
 
     @property
@@ -150,7 +150,7 @@
         response = await self._watch(self.link.pool.receive(self._connection))
         self._check_open()
         self._response = response
-        marks = wire.read_marks(response.status, response.headers)
+        marks = wire.decode_response(response.status, response.headers)
         self._check(marks, response.status)
         self.link.note_answer(self.sent_at)
         if flight.route.is_stream:
@@ -190,7 +190,7 @@
         if self._connection is None:
             raise BrokenError("cancelled on this side")
 
-    def _check(self, marks: AnswerMarks, status: int) -> None:
+    def _check(self, marks: ResponseMetadata, status: int) -> None:
         own_id = self.flight.request.envelope.request_id
         if marks.request_id is not None and marks.request_id != own_id:
             # A second or late answer to somebody else's request.
--- a/src/baobabthread/instance/endings.py
+++ b/src/baobabthread/instance/endings.py
@@ -5,7 +5,7 @@
 import random
 
 from baobabthread.instance.flight import Flight
-from baobabthread.instance.records import FlightLog
+from baobabthread.instance.requestlog import RequestLog
 from baobabthread.routing.quarantine import Held
 
 SOON_S = 0.5
@@ -33,7 +33,7 @@
 
     __slots__ = ("_log", "_rng")
 
-    def __init__(self, *, log: FlightLog, rng: random.Random) -> None:
+    def __init__(self, *, log: RequestLog, rng: random.Random) -> None:
         self._log = log
         self._rng = rng
 
@@ -53,7 +53,7 @@
 
     async def cut(self, flight: Flight) -> None:
         """End a request that this instance's own end overtakes."""
-        self._log.cut_by_stop(flight)
+        self._log.record_cut_by_stop(flight)
         if flight.reply.has_begun:
             flight.reply.abort()
         elif self._surely_not_run(flight):
@@ -64,7 +64,7 @@
     async def hold_back(self, flight: Flight, held: Held) -> None:
         """End a request under which backend servers crash, and say what to do."""
         left_s = max(LEAST_HOLD_S, held.left_s)
-        self._log.held_back(flight)
+        self._log.record_quarantined(flight)
         if flight.reply.has_begun:
             flight.reply.abort()
             return
@@ -77,11 +77,11 @@
         self, flight: Flight, kind: str, retry_after_s: float | None
     ) -> None:
         """Refuse a request that has not run and never will."""
-        self._log.failed(flight, kind, 503)
+        self._log.record_failure(flight, kind, 503)
         await flight.reply.refuse(503, kind, retry_after_s)
 
     async def _fail(self, flight: Flight, status: int, kind: str) -> None:
-        self._log.failed(flight, kind, status)
+        self._log.record_failure(flight, kind, status)
         if flight.reply.has_begun:
             flight.reply.abort()
         else:
--- a/src/baobabthread/instance/feeds.py
+++ b/src/baobabthread/instance/feeds.py
@@ -256,7 +256,7 @@
         self._knowledge.complete_evacuations(self._evacuated, page.end)
 
     def _take(self, record: Record) -> None:
-        match self._formats.decode_operators(record):
+        match self._formats.decode_operator_record(record):
             case RoutingConfiguration() as found:
                 self._take_configuration(found, record.offset)
             case RolloutOrder() as found if self._knowledge.take_order(found):
--- a/src/baobabthread/instance/forwarder.py
+++ b/src/baobabthread/instance/forwarder.py
@@ -30,7 +30,7 @@
 from baobabthread.instance.flight import CallerRequest, Flight, Reply
 from baobabthread.instance.placement import Placement
 from baobabthread.instance.quarantine import QuarantineDesk
-from baobabthread.instance.records import FlightLog
+from baobabthread.instance.requestlog import RequestLog
 from baobabthread.instance.selection import Selection
 from baobabthread.instance.services import Services, ServiceState
 from baobabthread.instance.sessions import SessionDesk
@@ -61,7 +61,7 @@
         services: Services,
         wire: WireFormat,
         rng: random.Random,
-        log: FlightLog,
+        log: RequestLog,
         desk: SessionDesk,
         placement: Placement,
         crashes: CrashWatch,
@@ -125,7 +125,7 @@
             await self.admission.wait_known()
             found = self.admission.admit(request, reply)
             if isinstance(found, Verdict):
-                self._log.turned_away(request, found.kind, found.status)
+                self._log.record_rejection(request, found.kind, found.status)
                 await reply.refuse(found.status, found.kind, found.retry_after_s)
                 return
             if not await self._hold_back(found):
@@ -161,17 +161,17 @@
             await self._wait_and_run(flight)
         except asyncio.CancelledError:
             if not self._is_ending:
-                self._log.caller_gone(flight)
+                self._log.record_caller_disconnect(flight)
                 raise
             task = asyncio.current_task()
             assert task is not None
             task.uncancel()
             await self._endings.cut(flight)
         except ConnectionError:
-            self._log.caller_gone(flight)
+            self._log.record_caller_disconnect(flight)
             raise
         except Exception as error:
-            self._log.crashed(flight, error)
+            self._log.record_internal_error(flight, error)
             raise
 
     async def _wait_and_run(self, flight: Flight) -> None:
@@ -209,7 +209,7 @@
             if await self._hold_back(flight):
                 return
             link = await self.selection.select(flight, state.plan)
-            self._log.chose_version(flight, state.plan)
+            self._log.record_version_choice(flight, state.plan)
             if link is None:
                 await self._endings.give_up(flight, self.selection.explain_none(flight))
                 return
--- a/src/baobabthread/instance/front.py
+++ b/src/baobabthread/instance/front.py
@@ -130,7 +130,7 @@
                     host=request.headers.get("Host", ""),
                     headers=message.raw_headers,
                     body=body,
-                    envelope=self._wire.read_envelope(request.headers),
+                    envelope=self._wire.decode_envelope(request.headers),
                     arrived_at=arrived_at,
                 ),
                 reply,
--- a/src/baobabthread/instance/heldrecords.py
+++ b/src/baobabthread/instance/heldrecords.py
@@ -78,9 +78,9 @@
         held = self._desk.quarantine.get(fingerprint, now())
         append: Append | None = None
         if held is None and before is not None:
-            append = self._formats.drop_held(fingerprint, end)
+            append = self._formats.encode_release(fingerprint, end)
         elif held is not None and (before is None or before.number < held.number):
-            append = self._formats.encode_held(held, end, unix_now=time.time())
+            append = self._formats.encode_quarantined(held, end, unix_now=time.time())
         if append is not None:
             if isinstance(await self._store.append(append, CALL_S), Conflict):
                 # Somebody else wrote meanwhile: read again at the next step.
@@ -94,7 +94,7 @@
         unix_now = time.time()
         for record in page.records:
             try:
-                held = self._formats.decode_held(record, unix_now=unix_now)
+                held = self._formats.decode_quarantined(record, unix_now=unix_now)
             except (msgspec.MsgspecError, BaobabthreadError) as error:
                 log_event("status_unreadable", key=record.key, error=str(error))
                 continue
--- a/src/baobabthread/instance/lines.py
+++ b/src/baobabthread/instance/logoutput.py
@@ -13,9 +13,9 @@
 
 from baobabthread.logs import LineFormatter, log_event
 
-MAX_BUFFERED = 2000
+MAX_BUFFERED_LINES = 2000
 """Lines held while standard output can't take them."""
-FLUSH_S = 0.25
+FLUSH_INTERVAL_S = 0.25
 MAX_WRITE_BYTES = 65_536
 
 
@@ -32,7 +32,7 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Keep a line; count it as dropped when too many wait."""
-        if len(self._lines) >= MAX_BUFFERED:
+        if len(self._lines) >= MAX_BUFFERED_LINES:
             self.dropped += 1
             return
         self._lines.append(self.format(record).encode("utf-8", "replace") + b"\n")
@@ -57,17 +57,17 @@
             self._partial = data[written:]
 
 
-async def run_flusher(handler: BufferedHandler) -> None:
+async def run_log_flusher(handler: BufferedHandler) -> None:
     """Write buffered lines from time to time, and say how many were dropped."""
     while True:
-        await asyncio.sleep(FLUSH_S)
+        await asyncio.sleep(FLUSH_INTERVAL_S)
         handler.flush()
         if handler.dropped:
             dropped, handler.dropped = handler.dropped, 0
             log_event("log_lines_dropped", level="warning", count=dropped)
 
 
-def configure_lines() -> BufferedHandler:
+def configure_logging() -> BufferedHandler:
     """Send all events to standard output through a buffer."""
     if not flags.FLAGS.is_parsed():
         flags.FLAGS.mark_as_parsed()
--- a/src/baobabthread/instance/metrics.py
+++ b/src/baobabthread/instance/metrics.py
@@ -10,7 +10,7 @@
     generate_latest,
 )
 
-BUCKETS_S = (0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0, 25.0)
+LATENCY_BUCKETS_S = (0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0, 25.0)
 
 
 class Metrics:
@@ -18,19 +18,19 @@
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry(auto_describe=False)
-        self._answers = Counter(
+        self._responses = Counter(
             "baobabthread_answers",
             "Answers of backend servers that were passed on",
             ["route", "status"],
             registry=self.registry,
         )
-        self.turned_away = Counter(
+        self.rejected = Counter(
             "baobabthread_turned_away",
             "Requests that ended without an answer of a backend server",
             ["kind"],
             registry=self.registry,
         )
-        self.repeats = Counter(
+        self.retries = Counter(
             "baobabthread_repeats",
             "Attempts beyond the first of a request",
             registry=self.registry,
@@ -46,7 +46,7 @@
             "Requests that are being handled",
             registry=self.registry,
         )
-        self.knowledge_age = Gauge(
+        self.replica_age = Gauge(
             "baobabthread_knowledge_age_seconds",
             "Age of what is known of the operators' configuration",
             registry=self.registry,
@@ -56,18 +56,18 @@
             "Instances that are believed to serve, this one included",
             registry=self.registry,
         )
-        self.held = Gauge(
+        self.quarantined = Gauge(
             "baobabthread_held_requests",
             "Requests that are held back as backend servers crash under them",
             registry=self.registry,
         )
-        self.repeats_left = Gauge(
+        self.retries_left = Gauge(
             "baobabthread_repeats_left",
             "Repeats that this instance may still send in the present window",
             ["service"],
             registry=self.registry,
         )
-        self.exposed = Gauge(
+        self.exposed_requests = Gauge(
             "baobabthread_exposed_requests",
             "Attempts at the version on trial since the newest order",
             ["service"],
@@ -83,13 +83,13 @@
             "baobabthread_answer_seconds",
             "Time from a request's arrival to the end of its answer",
             ["route"],
-            buckets=BUCKETS_S,
+            buckets=LATENCY_BUCKETS_S,
             registry=self.registry,
         )
 
-    def answered(self, route: str, status: int, elapsed_s: float) -> None:
+    def record_response(self, route: str, status: int, elapsed_s: float) -> None:
         """Count an answer."""
-        self._answers.labels(route=route, status=str(status)).inc()
+        self._responses.labels(route=route, status=str(status)).inc()
         self.latency.labels(route=route).observe(elapsed_s)
 
     def render(self) -> bytes:
--- a/src/baobabthread/instance/process.py
+++ b/src/baobabthread/instance/process.py
@@ -22,11 +22,11 @@
 from baobabthread.instance.forwarder import Forwarder
 from baobabthread.instance.front import Front, listen, make_server
 from baobabthread.instance.heldrecords import HeldRecords
-from baobabthread.instance.lines import configure_lines, run_flusher
+from baobabthread.instance.logoutput import configure_logging, run_log_flusher
 from baobabthread.instance.metrics import Metrics
 from baobabthread.instance.peers import KNOWLEDGE_PATH, KNOWN_END, PeerLink
 from baobabthread.instance.readiness import Readiness
-from baobabthread.instance.records import FlightLog
+from baobabthread.instance.requestlog import RequestLog
 from baobabthread.instance.restrictions import Restrictions
 from baobabthread.instance.services import Services
 from baobabthread.instance.settings import InstanceSettings
@@ -89,7 +89,7 @@
         self._rng = rng
         self.metrics = Metrics()
         self.knowledge = Knowledge(bounds=settings.bounds)
-        self._areas = Areas(areas=settings.areas)
+        self._areas = Areas(areas=settings.regions)
         self.restrictions = Restrictions(
             me=settings.name,
             knowledge=self.knowledge,
@@ -124,7 +124,7 @@
             services=self.services,
             wire=self._wire,
             rng=rng,
-            log=FlightLog(knowledge=self.knowledge, metrics=self.metrics),
+            log=RequestLog(knowledge=self.knowledge, metrics=self.metrics),
             desk=self.peers.desk,
             placement=self.peers.placement,
             crashes=self.crashes,
@@ -210,13 +210,13 @@
         if request.path != self._outside.metrics_path:
             return web.Response(status=404)
         self.metrics.in_flight.set(self.forwarder.in_flight)
-        self.metrics.knowledge_age.set(self.knowledge.operators_age(now()))
+        self.metrics.replica_age.set(self.knowledge.operators_age(now()))
         self.metrics.members.set(len(self.peers.membership.alive()))
-        self.metrics.held.set(len(self.peers.quarantine.quarantine.names(now())))
+        self.metrics.quarantined.set(len(self.peers.quarantine.quarantine.names(now())))
         for state in self.services:
-            left = self.metrics.repeats_left.labels(service=state.name)
+            left = self.metrics.retries_left.labels(service=state.name)
             left.set(state.budget.balance(now()))
-            exposed = self.metrics.exposed.labels(service=state.name)
+            exposed = self.metrics.exposed_requests.labels(service=state.name)
             exposed.set(state.plan.exposure.report().exposed)
         return web.Response(body=self.metrics.render(), content_type="text/plain")
 
@@ -227,9 +227,9 @@
         told = asyncio.Event()
         self._handle_signals(told)
         async with AsyncExitStack() as stack:
-            handler = configure_lines()
+            handler = configure_logging()
             stack.callback(handler.flush)
-            start_task(stack, run_flusher(handler))
+            start_task(stack, run_log_flusher(handler))
             await self.start(stack)
             _tune_collector()
             await told.wait()
--- a/src/baobabthread/instance/records.py
+++ b/src/baobabthread/instance/requestlog.py
@@ -11,41 +11,41 @@
 from baobabthread.routing.reasons import VersionReason
 from baobabthread.routing.versions import VersionPlan
 
-FAILURES_PER_S = 20.0
+FAILURE_LINES_PER_S = 20.0
 """Lines a second on requests that were refused or failed: enough to find each of a
 quiet hour, few enough that a storm of them costs no noticeable processor time."""
-SUCCESSES_PER_S = 2.0
+SUCCESS_LINES_PER_S = 2.0
 """Lines a second on requests that went well, as a sample."""
-CHOICES_PER_S = 10.0
+VERSION_CHOICE_LINES_PER_S = 10.0
 """Lines a second on the version that a request of a session got in a roll-out."""
 BURST_S = 5.0
 
 
-class LineBudget:
+class LineRateLimiter:
     """Bound how many lines of one kind are written."""
 
-    __slots__ = ("_at", "_level", "_rate", "passed_over")
+    __slots__ = ("_checked_at", "_level", "_rate", "suppressed")
 
     def __init__(self, *, per_s: float) -> None:
         self._rate = per_s
         self._level = per_s * BURST_S
-        self._at = now()
-        self.passed_over = 0
+        self._checked_at = now()
+        self.suppressed = 0
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Tell whether one more line may be written."""
         moment = now()
-        level = self._level + (moment - self._at) * self._rate
+        level = self._level + (moment - self._checked_at) * self._rate
         self._level = min(self._rate * BURST_S, level)
-        self._at = moment
+        self._checked_at = moment
         if self._level < 1.0:
-            self.passed_over += 1
+            self.suppressed += 1
             return False
         self._level -= 1.0
         return True
 
 
-class FlightLog:
+class RequestLog:
     """Write a line for the end of a request, with what decided it."""
 
     __slots__ = ("_choices", "_failures", "_knowledge", "_metrics", "_successes")
@@ -53,11 +53,11 @@
     def __init__(self, *, knowledge: Knowledge, metrics: Metrics) -> None:
         self._knowledge = knowledge
         self._metrics = metrics
-        self._failures = LineBudget(per_s=FAILURES_PER_S)
-        self._successes = LineBudget(per_s=SUCCESSES_PER_S)
-        self._choices = LineBudget(per_s=CHOICES_PER_S)
+        self._failures = LineRateLimiter(per_s=FAILURE_LINES_PER_S)
+        self._successes = LineRateLimiter(per_s=SUCCESS_LINES_PER_S)
+        self._choices = LineRateLimiter(per_s=VERSION_CHOICE_LINES_PER_S)
 
-    def chose_version(self, flight: Flight, plan: VersionPlan) -> None:
+    def record_version_choice(self, flight: Flight, plan: VersionPlan) -> None:
         """Note which version a request of a session got in a roll-out, and why."""
         reason = flight.version_reason
         if not plan.is_running or flight.is_free:
@@ -65,7 +65,7 @@
         self._metrics.version_choices.labels(
             service=flight.service, reason=str(reason)
         ).inc()
-        if reason is VersionReason.NOT_ON_TRIAL or not self._choices.take():
+        if reason is VersionReason.NOT_ON_TRIAL or not self._choices.try_acquire():
             return
         assert plan.order is not None
         log_event(
@@ -84,36 +84,38 @@
             elapsed_s=round(plan.elapsed(now()), 2),
         )
 
-    def answered(self, flight: Flight, backend: BackendRecord, status: int) -> None:
+    def record_response(
+        self, flight: Flight, backend: BackendRecord, status: int
+    ) -> None:
         """Note an answer that was passed on."""
         elapsed_s = now() - flight.started_at
-        self._metrics.answered(flight.route.name, status, elapsed_s)
+        self._metrics.record_response(flight.route.name, status, elapsed_s)
         if flight.attempts > 1:
-            self._metrics.repeats.inc(flight.attempts - 1)
+            self._metrics.retries.inc(flight.attempts - 1)
         unusual = status >= 400 or flight.attempts > 1
         lines = self._failures if unusual else self._successes
-        if lines.take():
+        if lines.try_acquire():
             write_event("request_answered", self._describe(flight, status, backend))
 
-    def failed(self, flight: Flight, kind: str, status: int) -> None:
+    def record_failure(self, flight: Flight, kind: str, status: int) -> None:
         """Note a request that ended with a refusal or failure of this side's own."""
-        self._metrics.turned_away.labels(kind=kind).inc()
-        if self._failures.take():
+        self._metrics.rejected.labels(kind=kind).inc()
+        if self._failures.try_acquire():
             write_event(
                 "request_given_up", self._describe(flight, status, None, kind=kind)
             )
 
-    def held_back(self, flight: Flight) -> None:
+    def record_quarantined(self, flight: Flight) -> None:
         """Note a request that is held back as backend servers crash under it."""
-        self._metrics.turned_away.labels(kind="quarantined").inc()
-        if self._failures.take():
+        self._metrics.rejected.labels(kind="quarantined").inc()
+        if self._failures.try_acquire():
             fields = self._describe(flight, 0, None, fingerprint=flight.fingerprint)
             write_event("request_held_back", fields)
 
-    def turned_away(self, request: CallerRequest, kind: str, status: int) -> None:
+    def record_rejection(self, request: CallerRequest, kind: str, status: int) -> None:
         """Note a request that never came as far as a route or an account."""
-        self._metrics.turned_away.labels(kind=kind).inc()
-        if self._failures.take():
+        self._metrics.rejected.labels(kind=kind).inc()
+        if self._failures.try_acquire():
             fields = {
                 "request": request.envelope.request_id,
                 "kind": kind,
@@ -121,22 +123,22 @@
                 "host": request.host,
                 "path": request.path,
             }
-            write_event("request_turned_away", fields | self._describe_knowledge())
+            write_event("request_turned_away", fields | self._describe_replica())
 
-    def caller_gone(self, flight: Flight) -> None:
+    def record_caller_disconnect(self, flight: Flight) -> None:
         """Note a caller that left before its answer was whole."""
-        self._metrics.turned_away.labels(kind="caller_gone").inc()
-        if self._failures.take():
+        self._metrics.rejected.labels(kind="caller_gone").inc()
+        if self._failures.try_acquire():
             write_event("caller_gone", self._describe(flight, 0, None))
 
-    def cut_by_stop(self, flight: Flight) -> None:
+    def record_cut_by_stop(self, flight: Flight) -> None:
         """Note a request that was not answered when this instance ended."""
-        self._metrics.turned_away.labels(kind="cut_by_stop").inc()
-        if self._failures.take():
+        self._metrics.rejected.labels(kind="cut_by_stop").inc()
+        if self._failures.try_acquire():
             fields = self._describe(flight, 0, None, begun=flight.reply.has_begun)
             write_event("request_cut_by_stop", fields)
 
-    def crashed(self, flight: Flight, error: BaseException) -> None:
+    def record_internal_error(self, flight: Flight, error: BaseException) -> None:
         """Note an error of this program's own."""
         log_event(
             "request_crashed",
@@ -180,9 +182,9 @@
             "took_ms": round((moment - flight.started_at) * 1000),
             "left_ms": round((flight.deadline - moment) * 1000),
         }
-        return described | fields | self._describe_knowledge()
+        return described | fields | self._describe_replica()
 
-    def _describe_knowledge(self) -> dict[str, object]:
+    def _describe_replica(self) -> dict[str, object]:
         table = self._knowledge.table
         return {
             "configuration": table.configuration.version if table is not None else 0,
--- a/src/baobabthread/instance/settings.py
+++ b/src/baobabthread/instance/settings.py
@@ -29,7 +29,7 @@
     bounds: RoutingBounds = RoutingBounds()
     off: Switches = NONE_OFF
     """Mechanisms that are switched off, to measure what they are worth."""
-    areas: dict[str, str] = {}
+    regions: dict[str, str] = {}
     """Areas by failure domain."""
 
     @property
--- a/src/baobabthread/instance/store.py
+++ b/src/baobabthread/instance/store.py
@@ -81,7 +81,7 @@
     backends_topic: str
     status_topic: str
 
-    def decode_operators(
+    def decode_operator_record(
         self, record: Record
     ) -> RoutingConfiguration | RolloutOrder | Evacuation | None:
         """Decode what operators wrote; nothing for keys of no interest.
@@ -98,13 +98,15 @@
     def encode_status(self, status: RolloutStatus, expected_end: int) -> Append:
         """Return the record that says how far a roll-out has come."""
 
-    def decode_held(self, record: Record, *, unix_now: float) -> Held | None:
+    def decode_quarantined(self, record: Record, *, unix_now: float) -> Held | None:
         """Decode a request that is held; nothing for other records there."""
 
-    def encode_held(self, held: Held, expected_end: int, *, unix_now: float) -> Append:
+    def encode_quarantined(
+        self, entry: Held, expected_end: int, *, unix_now: float
+    ) -> Append:
         """Return the record of a request that is held."""
 
-    def drop_held(self, fingerprint: str, expected_end: int) -> Append:
+    def encode_release(self, fingerprint: str, expected_end: int) -> Append:
         """Return the record that removes a request that is held no more."""
 
 
--- a/src/baobabthread/instance/turns.py
+++ b/src/baobabthread/instance/turns.py
@@ -10,7 +10,7 @@
 from baobabthread.instance.endings import SOON_S, Endings
 from baobabthread.instance.estimates import Estimates
 from baobabthread.instance.flight import Flight
-from baobabthread.instance.records import FlightLog
+from baobabthread.instance.requestlog import RequestLog
 from baobabthread.instance.services import Services, ServiceState
 from baobabthread.routing.queues import classify
 
@@ -37,7 +37,7 @@
         services: Services,
         estimates: Estimates,
         endings: Endings,
-        log: FlightLog,
+        log: RequestLog,
         rng: random.Random,
     ) -> None:
         self._services = services
--- a/src/baobabthread/instance/wire.py
+++ b/src/baobabthread/instance/wire.py
@@ -26,7 +26,7 @@
     """The last event that the caller already has."""
 
 
-class AnswerMarks(msgspec.Struct, frozen=True, kw_only=True):
+class ResponseMetadata(msgspec.Struct, frozen=True, kw_only=True):
     """Hold what the head of an answer says about it."""
 
     signed: bool
@@ -47,7 +47,7 @@
 class WireFormat(Protocol):
     """Translate between header fields and what they mean."""
 
-    def read_envelope(self, headers: Mapping[str, str]) -> Envelope:
+    def decode_envelope(self, headers: Mapping[str, str]) -> Envelope:
         """Decode what a caller's headers say."""
 
     def encode_request(
@@ -60,8 +60,10 @@
     ) -> bytes:
         """Return the head of the request for a backend server."""
 
-    def read_marks(self, status: int, headers: Mapping[str, str]) -> AnswerMarks:
+    def decode_response(
+        self, status: int, headers: Mapping[str, str]
+    ) -> ResponseMetadata:
         """Decode what the head of an answer says."""
 
-    def pass_headers(self, headers: RawHeaders) -> list[tuple[str, str]]:
+    def filter_response_headers(self, headers: RawHeaders) -> list[tuple[str, str]]:
         """Return the fields of an answer that are the caller's."""
--- a/src/baobabthread/platform/headers.py
+++ b/src/baobabthread/platform/headers.py
@@ -5,31 +5,31 @@
 import re
 from collections.abc import Mapping
 
-from baobabthread.instance.wire import AnswerMarks, BackendCall, RawHeaders
+from baobabthread.instance.wire import BackendCall, RawHeaders, ResponseMetadata
 from baobabthread.routing.table import Envelope, PromptPart
 
 REQUEST_ID = "X-Attempt-Id"
 SIGNATURE = "X-Response-Signature"
-TIME_LEFT = "X-Timeout-Ms"
-NOT_RUN = "X-Not-Executed"
+TIMEOUT_MS = "X-Timeout-Ms"
+NOT_EXECUTED = "X-Not-Executed"
 MODEL = "X-Model"
-TOKENS = "X-Token-Usage"
+TOKEN_USAGE = "X-Token-Usage"
 LENGTH_HINT = "X-Length-Hint"
-PROMPT_PARTS = "X-Prompt-Prefix"
+PROMPT_PREFIX = "X-Prompt-Prefix"
 ACCOUNT = "X-Tenant"
-BACKEND = "X-Target-Instance"
+TARGET_BACKEND = "X-Target-Instance"
 PRIORITY = "X-Request-Priority"
 CONFIDENCE = "X-Confidence"
-COLD_LEFT = "X-Cold-Ms"
+COLD_MS = "X-Cold-Ms"
 LAST_EVENT = "Last-Event-Id"
 SESSION = "Session"
-KEY = "Authorization"
-KEY_SCHEME = "token "
-MISDIRECTED = 421
+AUTHORIZATION = "Authorization"
+AUTHORIZATION_SCHEME = "token "
+MISDIRECTED_STATUS = 421
 LOWEST_PRIORITY = 9
-MS = 1000.0
+MS_PER_S = 1000.0
 
-_ONE_CONNECTION = {
+_HOP_BY_HOP_HEADERS = {
     b"connection",
     b"keep-alive",
     b"proxy-connection",
@@ -41,7 +41,7 @@
     b"content-length",
     b"expect",
 }
-_OURS = {
+_RESERVED_HEADERS = {
     # Callers forge these: a backend server would then charge another client account,
     # reserve memory or continue from somebody else's.
     b"authorization",
@@ -56,26 +56,26 @@
     b"kv-from",
     b"kv-fetch",
 }
-_NUMBERS = re.compile(r"\s*(\d+)\s*,\s*(\d+)\s*$")
+_TOKEN_COUNTS = re.compile(r"\s*(\d+)\s*,\s*(\d+)\s*$")
 
 
-class PlatformWire:
+class PlatformWireFormat:
     """Translate between the platform's header fields and what they mean."""
 
     __slots__ = ()
 
-    def read_envelope(self, headers: Mapping[str, str]) -> Envelope:
+    def decode_envelope(self, headers: Mapping[str, str]) -> Envelope:
         """Decode what a caller's headers say; what can't be read counts as absent."""
-        prompt, output = _read_pair(headers.get(TOKENS))
+        prompt, output = _parse_token_counts(headers.get(TOKEN_USAGE))
         return Envelope(
             request_id=headers.get(REQUEST_ID, ""),
-            key=_read_key(headers.get(KEY)),
-            time_left_s=_read_ms(headers.get(TIME_LEFT)),
+            key=_parse_key(headers.get(AUTHORIZATION)),
+            time_left_s=_parse_ms(headers.get(TIMEOUT_MS)),
             model=headers.get(MODEL),
             prompt_tokens=prompt,
             output_tokens=output,
-            expected_tokens=int(_read_number(headers.get(LENGTH_HINT)) or 0),
-            prompt_parts=_read_parts(headers.get(PROMPT_PARTS)),
+            expected_tokens=int(_parse_number(headers.get(LENGTH_HINT)) or 0),
+            prompt_parts=_parse_prompt_parts(headers.get(PROMPT_PREFIX)),
             last_event=headers.get(LAST_EVENT),
             session=headers.get(SESSION),
         )
@@ -89,7 +89,9 @@
         body_bytes: int,
     ) -> bytes:
         """Return the head of the request for a backend server."""
-        dropped = _ONE_CONNECTION | _OURS | _named_by_connection(headers)
+        dropped = (
+            _HOP_BY_HOP_HEADERS | _RESERVED_HEADERS | _list_connection_options(headers)
+        )
         if call.model is not None:
             dropped.add(b"x-model")
         if call.last_event is not None:
@@ -100,29 +102,31 @@
             for name, value in headers
             if name.lower() not in dropped
         )
-        for name, value in _list_ours(call):
+        for name, value in _make_reserved_headers(call):
             lines.append(f"{name}: {value}".encode("utf-8", "surrogateescape"))
         if body_bytes or method not in ("GET", "HEAD", "DELETE"):
             lines.append(f"Content-Length: {body_bytes}".encode())
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
-    def read_marks(self, status: int, headers: Mapping[str, str]) -> AnswerMarks:
+    def decode_response(
+        self, status: int, headers: Mapping[str, str]
+    ) -> ResponseMetadata:
         """Decode what the head of an answer says."""
-        confidence = _read_number(headers.get(CONFIDENCE))
-        return AnswerMarks(
+        confidence = _parse_number(headers.get(CONFIDENCE))
+        return ResponseMetadata(
             signed=SIGNATURE in headers,
             request_id=headers.get(REQUEST_ID),
-            not_run=NOT_RUN in headers or status == MISDIRECTED,
-            is_other_server=status == MISDIRECTED,
+            not_run=NOT_EXECUTED in headers or status == MISDIRECTED_STATUS,
+            is_other_server=status == MISDIRECTED_STATUS,
             confidence=None if confidence is None else confidence / 100.0,
             encoded=headers.get("Content-Encoding", "identity").lower() != "identity",
-            retry_after_s=_read_number(headers.get("Retry-After")),
-            cold_left_s=_read_ms(headers.get(COLD_LEFT)) or 0.0,
+            retry_after_s=_parse_number(headers.get("Retry-After")),
+            cold_left_s=_parse_ms(headers.get(COLD_MS)) or 0.0,
         )
 
-    def pass_headers(self, headers: RawHeaders) -> list[tuple[str, str]]:
+    def filter_response_headers(self, headers: RawHeaders) -> list[tuple[str, str]]:
         """Return the fields of an answer that are the caller's."""
-        dropped = _ONE_CONNECTION | _named_by_connection(headers)
+        dropped = _HOP_BY_HOP_HEADERS | _list_connection_options(headers)
         return [
             (
                 name.decode("utf-8", "surrogateescape"),
@@ -133,10 +137,10 @@
         ]
 
 
-def _list_ours(call: BackendCall) -> list[tuple[str, str]]:
+def _make_reserved_headers(call: BackendCall) -> list[tuple[str, str]]:
     fields = [
-        (TIME_LEFT, str(max(1, int(call.time_left_s * MS)))),
-        (BACKEND, call.backend),
+        (TIMEOUT_MS, str(max(1, int(call.time_left_s * MS_PER_S)))),
+        (TARGET_BACKEND, call.backend),
         (PRIORITY, str(min(LOWEST_PRIORITY, max(0, call.priority)))),
     ]
     if call.account is not None:
@@ -148,7 +152,7 @@
     return fields
 
 
-def _named_by_connection(headers: RawHeaders) -> set[bytes]:
+def _list_connection_options(headers: RawHeaders) -> set[bytes]:
     return {
         token.strip().lower()
         for name, value in headers
@@ -157,30 +161,30 @@
     }
 
 
-def _read_key(value: str | None) -> str | None:
-    if value is None or not value.lower().startswith(KEY_SCHEME):
+def _parse_key(value: str | None) -> str | None:
+    if value is None or not value.lower().startswith(AUTHORIZATION_SCHEME):
         return None
-    return value[len(KEY_SCHEME) :].strip()
+    return value[len(AUTHORIZATION_SCHEME) :].strip()
 
 
-def _read_ms(value: str | None) -> float | None:
-    number = _read_number(value)
-    return None if number is None else number / MS
+def _parse_ms(value: str | None) -> float | None:
+    number = _parse_number(value)
+    return None if number is None else number / MS_PER_S
 
 
-def _read_number(value: str | None) -> float | None:
+def _parse_number(value: str | None) -> float | None:
     try:
         return None if value is None else float(value)
     except ValueError:
         return None
 
 
-def _read_pair(value: str | None) -> tuple[int, int]:
-    found = _NUMBERS.match(value or "")
+def _parse_token_counts(value: str | None) -> tuple[int, int]:
+    found = _TOKEN_COUNTS.match(value or "")
     return (int(found.group(1)), int(found.group(2))) if found else (0, 0)
 
 
-def _read_parts(value: str | None) -> tuple[PromptPart, ...]:
+def _parse_prompt_parts(value: str | None) -> tuple[PromptPart, ...]:
     if not value:
         return ()
     parts = []
--- a/src/baobabthread/platform/interface.py
+++ b/src/baobabthread/platform/interface.py
@@ -35,13 +35,13 @@
 
     async def serve_readiness(self, request: web.BaseRequest) -> web.StreamResponse:
         """Tell whether this instance takes callers."""
-        if _path(request) != READY_PATH:
+        if _get_path(request) != READY_PATH:
             return web.Response(status=404)
         return web.Response(status=200 if self._is_ready() else 503)
 
     async def serve_directory(self, request: web.BaseRequest) -> web.StreamResponse:
         """Tell which addresses a caller may connect to."""
-        if _path(request) != RESOLVE_PATH:
+        if _get_path(request) != RESOLVE_PATH:
             return web.Response(status=404)
         found = self._find_addresses(
             request.query.get("zone"), request.query.get("region")
@@ -52,5 +52,5 @@
         )
 
 
-def _path(request: web.BaseRequest) -> str:
+def _get_path(request: web.BaseRequest) -> str:
     return request.path
--- a/src/baobabthread/platform/program.py
+++ b/src/baobabthread/platform/program.py
@@ -11,14 +11,14 @@
 
 from baobabthread.errors import BaobabthreadError, UsageError
 from baobabthread.instance.process import Instance, Outside
-from baobabthread.platform.headers import PlatformWire
+from baobabthread.platform.headers import PlatformWireFormat
 from baobabthread.platform.interface import PlatformInterface
-from baobabthread.platform.records import PlatformRecords
+from baobabthread.platform.records import PlatformRecordFormat
 from baobabthread.platform.settings import PATH_VARIABLE, read_settings
 from baobabthread.platform.store import PlatformStore
 from baobabthread.routing.mechanisms import Mechanism
 
-CONNECT_S = 0.5
+CONNECT_TIMEOUT_S = 0.5
 """Longest time for a connection to the store."""
 
 
@@ -62,9 +62,11 @@
     )
     port, _, path = (arguments.metrics or "").partition("/")
     outside = Outside(
-        store=PlatformStore(address=settings.store_address, connect_s=CONNECT_S),
-        formats=PlatformRecords(),
-        wire=PlatformWire(),
+        store=PlatformStore(
+            address=settings.store_address, connect_s=CONNECT_TIMEOUT_S
+        ),
+        formats=PlatformRecordFormat(),
+        wire=PlatformWireFormat(),
         make_interface=lambda is_ready, find: PlatformInterface(
             is_ready=is_ready, find_addresses=find
         ),
--- a/src/baobabthread/platform/records.py
+++ b/src/baobabthread/platform/records.py
@@ -29,16 +29,18 @@
 CONFIGURATION_KEY = "config"
 ROLLOUT_PREFIX = "rollout/"
 EVACUATION_PREFIX = "evacuate/"
-HELD_PREFIX = "quarantine/"
-LAST_PORT = 65_535
-MS = 1000.0
+QUARANTINE_PREFIX = "quarantine/"
+MAX_PORT = 65_535
+MS_PER_S = 1000.0
 
-_KINDS = {
+_REPEATABILITY_BY_KIND = {
     "idempotent": Repeatability.IDEMPOTENT,
     "streaming": Repeatability.STREAM,
 }
-_SERVER_REMEDY = "let only backend servers write there; theirs has all fields"
-_REMEDY = "publish a configuration in the form that the platform's pages give"
+_BACKEND_REMEDY = "let only backend servers write there; theirs has all fields"
+_CONFIGURATION_REMEDY = (
+    "publish a configuration in the form that the platform's pages give"
+)
 
 
 class _Split(msgspec.Struct, frozen=True, kw_only=True):
@@ -147,7 +149,7 @@
     elapsed_s: float = 0.0
 
 
-class _Held(msgspec.Struct, frozen=True, kw_only=True):
+class _Quarantined(msgspec.Struct, frozen=True, kw_only=True):
     service: str
     times: int
     until_ms: float
@@ -156,7 +158,7 @@
     versions: tuple[str, ...] = ()
 
 
-class PlatformRecords:
+class PlatformRecordFormat:
     """Name the platform's topics and decode what stands in them."""
 
     __slots__ = ()
@@ -165,7 +167,7 @@
     backends_topic = "keyed.servers"
     status_topic = "keyed.status"
 
-    def decode_operators(
+    def decode_operator_record(
         self, record: Record
     ) -> RoutingConfiguration | RolloutOrder | Evacuation | None:
         """Decode what operators wrote; nothing for keys of no interest."""
@@ -180,7 +182,7 @@
         if record.key == CONFIGURATION_KEY:
             return decode_configuration(record.value)
         if record.key.startswith(ROLLOUT_PREFIX):
-            return decode_order(record.offset, record.value)
+            return decode_rollout_order(record.offset, record.value)
         return None
 
     def decode_backend(self, record: Record) -> BackendRecord:
@@ -202,39 +204,41 @@
             expected_end=expected_end,
         )
 
-    def decode_held(self, record: Record, *, unix_now: float) -> Held | None:
+    def decode_quarantined(self, record: Record, *, unix_now: float) -> Held | None:
         """Decode a request that is held; nothing for other records there."""
-        if not record.key.startswith(HELD_PREFIX) or not record.value:
+        if not record.key.startswith(QUARANTINE_PREFIX) or not record.value:
             return None
-        found = msgspec.json.decode(record.value, type=_Held)
+        found = msgspec.json.decode(record.value, type=_Quarantined)
         return Held(
-            fingerprint=record.key.removeprefix(HELD_PREFIX),
+            fingerprint=record.key.removeprefix(QUARANTINE_PREFIX),
             service=found.service,
             times=found.times,
-            left_s=found.until_ms / MS - unix_now,
+            left_s=found.until_ms / MS_PER_S - unix_now,
             is_cleared=found.cleared,
             versions=found.versions,
         )
 
-    def encode_held(self, held: Held, expected_end: int, *, unix_now: float) -> Append:
+    def encode_quarantined(
+        self, entry: Held, expected_end: int, *, unix_now: float
+    ) -> Append:
         """Return the record of a request that is held."""
-        record = _Held(
-            service=held.service,
-            times=held.times,
-            until_ms=round((unix_now + held.left_s) * MS),
-            cleared=held.is_cleared,
-            versions=held.versions,
+        record = _Quarantined(
+            service=entry.service,
+            times=entry.times,
+            until_ms=round((unix_now + entry.left_s) * MS_PER_S),
+            cleared=entry.is_cleared,
+            versions=entry.versions,
         )
         return msgspec.structs.replace(
-            self.drop_held(held.fingerprint, expected_end),
+            self.encode_release(entry.fingerprint, expected_end),
             value=msgspec.json.encode(record),
         )
 
-    def drop_held(self, fingerprint: str, expected_end: int) -> Append:
+    def encode_release(self, fingerprint: str, expected_end: int) -> Append:
         """Return the record that removes a request that is held no more."""
         return Append(
             topic=self.status_topic,
-            key=f"{HELD_PREFIX}{fingerprint}",
+            key=f"{QUARANTINE_PREFIX}{fingerprint}",
             value=b"",
             expected_end=expected_end,
         )
@@ -249,7 +253,7 @@
         found = msgspec.json.decode(value, type=_Configuration)
     except msgspec.MsgspecError as error:
         raise ConfigurationError(
-            str(error), field=CONFIGURATION_KEY, remedy=_REMEDY
+            str(error), field=CONFIGURATION_KEY, remedy=_CONFIGURATION_REMEDY
         ) from error
     return RoutingConfiguration(
         version=found.version,
@@ -258,7 +262,7 @@
         limits=RequestLimits(
             max_header_bytes=found.limits.max_header_bytes,
             max_body_bytes=found.limits.max_body_bytes,
-            idle_timeout_s=found.limits.idle_timeout_ms / MS,
+            idle_timeout_s=found.limits.idle_timeout_ms / MS_PER_S,
         ),
         accounts=tuple(
             Account(
@@ -283,17 +287,19 @@
         host=route.host,
         path_prefix=route.path_prefix,
         # A kind that this side doesn't know must not run twice.
-        repeatability=_KINDS.get(route.kind, Repeatability.NON_IDEMPOTENT),
+        repeatability=_REPEATABILITY_BY_KIND.get(
+            route.kind, Repeatability.NON_IDEMPOTENT
+        ),
         targets=targets,
-        timeout_s=route.timeout_ms / MS,
-        objective_s=(route.slo_ms or route.timeout_ms) / MS,
+        timeout_s=route.timeout_ms / MS_PER_S,
+        objective_s=(route.slo_ms or route.timeout_ms) / MS_PER_S,
         priority=route.priority,
         max_attempts=max(1, route.max_attempts),
         models=tuple(route.sizes),
         public=route.public,
         has_prompts=route.sticky,
         resumable=route.resumable,
-        pause_s=route.gap_target_ms / MS,
+        pause_s=route.gap_target_ms / MS_PER_S,
         homes=tuple(route.allowed_regions),
     )
 
@@ -320,7 +326,9 @@
         found = msgspec.json.decode(value, type=_Server)
         _check_address(found.address)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise ConfigurationError(str(error), field=id, remedy=_SERVER_REMEDY) from error
+        raise ConfigurationError(
+            str(error), field=id, remedy=_BACKEND_REMEDY
+        ) from error
     return BackendRecord(
         id=id,
         service=found.service,
@@ -330,23 +338,23 @@
         capacity=max(1, found.slots),
         leaving=found.state is _ServerState.DRAINING,
         started_ms=max(0, found.born),
-        cold_left_s=_read_cold(found.cold_left_ms),
+        cold_left_s=_parse_cold_left_s(found.cold_left_ms),
     )
 
 
-def _read_cold(left_ms: float | str | None) -> float:
-    return left_ms / MS if isinstance(left_ms, float) else 0.0
+def _parse_cold_left_s(left_ms: float | str | None) -> float:
+    return left_ms / MS_PER_S if isinstance(left_ms, float) else 0.0
 
 
 def _check_address(address: str) -> None:
     """Raise `ValueError` unless this is an IP address and a port."""
     host, _, port = address.rpartition(":")
     ipaddress.ip_address(host)
-    if not 0 < int(port) <= LAST_PORT:
+    if not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"{port!r} is no port")
 
 
-def decode_order(number: int, value: bytes) -> RolloutOrder:
+def decode_rollout_order(number: int, value: bytes) -> RolloutOrder:
     """Decode an order to move a service to another version."""
     found = msgspec.json.decode(value, type=_Order)
     return RolloutOrder(
--- a/src/baobabthread/platform/settings.py
+++ b/src/baobabthread/platform/settings.py
@@ -11,7 +11,7 @@
 from baobabthread.routing.bounds import RoutingBounds
 
 PATH_VARIABLE = "BAOBABTHREAD_SETTINGS"
-MS = 1000.0
+MS_PER_S = 1000.0
 
 
 class _Listen(msgspec.Struct, frozen=True, kw_only=True):
@@ -107,7 +107,7 @@
         name=file.node_name,
         failure_domain=file.zone,
         region=file.region,
-        areas=file.zones,
+        regions=file.zones,
         ip=file.ip,
         callers_address=file.listen.front,
         readiness_address=file.listen.ready,
@@ -118,7 +118,7 @@
         store_address=file.provider.address,
         memory_mb=file.limits.memory_mb,
         bounds=RoutingBounds(
-            revocation_s=bounds.revoke_ms / MS,
+            revocation_s=bounds.revoke_ms / MS_PER_S,
             retry_ratio=bounds.retry_budget_ratio,
             retry_extra=bounds.retry_budget_extra,
             retry_window_s=bounds.budget_window_s,
@@ -127,10 +127,10 @@
             session_s=bounds.session_s,
             grace_s=bounds.grace_s,
             max_lifetime_s=bounds.ttl_max_s,
-            contact_s=bounds.contact_ms / MS,
-            apply_s=bounds.config_apply_ms / MS,
-            drain_s=bounds.drain_ms / MS,
-            evacuation_s=bounds.evacuate_ms / MS,
+            contact_s=bounds.contact_ms / MS_PER_S,
+            apply_s=bounds.config_apply_ms / MS_PER_S,
+            drain_s=bounds.drain_ms / MS_PER_S,
+            evacuation_s=bounds.evacuate_ms / MS_PER_S,
             cold_factor=bounds.cold_overage,
             cold_extra=bounds.cold_slack,
         ),
--- a/src/baobabthread/platform/store.py
+++ b/src/baobabthread/platform/store.py
@@ -29,16 +29,16 @@
     Trimmed,
 )
 
-MAX_ANSWER_BYTES = 16_000_000
+MAX_RESPONSE_BYTES = 16_000_000
 MAX_READ_KB = 1024
-STALL_S = 0.6
+STALL_TIMEOUT_S = 0.6
 """Silence after which an answer that has begun counts as broken off."""
-LONGEST_ANSWER_S = 6.0
+RESPONSE_TIMEOUT_S = 6.0
 """Longest time for an answer that keeps coming: a configuration of two thousand routes
 takes a second over a link of 5 Mbit/s, a few of them in a row several."""
 LENGTH_BYTES = 4
 OFFSETS_BYTES = 16
-NO_KEY = b"\0"
+EMPTY_RECORD = b"\0"
 """Content of a record without key and value."""
 
 T = TypeVar("T")
@@ -135,9 +135,9 @@
         self._pool.close()
 
     async def _get(
-        self, path: str, query: Mapping[str, object], limit_s: float
+        self, path: str, query: Mapping[str, object], timeout_s: float
     ) -> bytes:
-        return _expect_ok(await self._call("GET", path, query, b"", limit_s))
+        return _expect_ok(await self._call("GET", path, query, b"", timeout_s))
 
     async def _call(
         self,
@@ -146,7 +146,7 @@
         query: Mapping[str, object],
         body: bytes,
         timeout_s: float,
-    ) -> _Answer:
+    ) -> _StoreResponse:
         headers = [("Host", self._address), ("Content-Length", str(len(body)))]
         head = encode_head(method, f"{path}?{urlencode(query)}", headers)
         connection = None
@@ -154,7 +154,7 @@
             async with asyncio.timeout(timeout_s):
                 connection = await self._pool.send(head, body)
                 response: Response = await self._pool.receive(connection)
-            answer = await _read_steadily(response)
+            answer = await _read_body(response)
             response.finish()
             connection = None
         except (BrokenError, NotSentError, TimeoutError) as error:
@@ -162,10 +162,10 @@
         finally:
             if connection is not None:
                 self._pool.discard(connection)
-        return _Answer(status=response.status, body=answer)
+        return _StoreResponse(status=response.status, body=answer)
 
 
-async def _read_steadily(response: Response) -> bytes:
+async def _read_body(response: Response) -> bytes:
     """Return the body of an answer as long as it keeps coming.
 
     With one bound for the whole answer an instance on a slow link never gets a large
@@ -174,27 +174,27 @@
     """
     chunks = []
     size = 0
-    async with asyncio.timeout(LONGEST_ANSWER_S):
+    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         while True:
             # `wait_for` loses a cancellation that meets the answer: the reader goes on
             # for good, and a process that was told to stop never ends.
-            async with asyncio.timeout(STALL_S):
+            async with asyncio.timeout(STALL_TIMEOUT_S):
                 chunk = await response.read_some()
             if not chunk:
                 break
             chunks.append(chunk)
             size += len(chunk)
-            if size > MAX_ANSWER_BYTES:
+            if size > MAX_RESPONSE_BYTES:
                 raise BrokenError("answer too large")
     return b"".join(chunks)
 
 
-class _Answer(msgspec.Struct, frozen=True, kw_only=True):
+class _StoreResponse(msgspec.Struct, frozen=True, kw_only=True):
     status: int
     body: bytes
 
 
-def _expect_ok(answer: _Answer) -> bytes:
+def _expect_ok(answer: _StoreResponse) -> bytes:
     if answer.status != 200:
         raise StoreError(f"status {answer.status}")
     return answer.body
@@ -222,7 +222,7 @@
             raise StoreError("answer ends within a record")
         position += length
         # Another writer's record may lack even the length of a key.
-        content = content or NO_KEY
+        content = content or EMPTY_RECORD
         cut = 1 + content[0]
         records.append(
             Record(
--- a/tests/platform/crashes.py
+++ b/tests/platform/crashes.py
@@ -5,15 +5,15 @@
 import asyncio
 from typing import Any
 
-from tests.platform.fakes import FakeBackend, Seen
+from tests.platform.fakes import FakeBackend, ReceivedRequest
 from tests.platform.fakestore import BACKENDS
 from tests.platform.site import Site
 
-MARK = b"crash"
+CRASH_MARK = b"crash"
 """Part of the bodies under which backend servers crash."""
-BACK_S = 0.5
+RESTART_DELAY_S = 0.5
 """Time after which the next start listens at the same address."""
-LAPSE_S = 1.0
+RECORD_EXPIRY_S = 1.0
 """Time after which the record of the start that crashed is gone."""
 
 
@@ -25,7 +25,7 @@
         self.at = at
 
 
-class Places:
+class RestartingBackends:
     """Keep a number of backend servers up, and note what reaches them."""
 
     def __init__(self, site: Site, **settings: Any) -> None:
@@ -35,7 +35,7 @@
         self.arrivals: list[tuple[float, bytes]] = []
         """When a request reached a server that would run it, and its body."""
         self.crashes: list[Crash] = []
-        self.crash_on = MARK
+        self.crash_on = CRASH_MARK
         self.crash_account = ""
         self.work_s = 0.02
 
@@ -49,7 +49,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def count_later(self, mark: bytes, since: float) -> int:
+    def count_arrivals(self, mark: bytes, since: float) -> int:
         """Return how many requests with a mark arrived after a moment."""
         return sum(mark in body and at > since for at, body in self.arrivals)
 
@@ -65,7 +65,9 @@
         self._site.store.put(BACKENDS, id, backend.record)
         return backend
 
-    def _note(self, backend: FakeBackend, seen: Seen, executed: bool) -> None:
+    def _note(
+        self, backend: FakeBackend, seen: ReceivedRequest, executed: bool
+    ) -> None:
         if executed:
             self.arrivals.append((_now(), seen.body))
 
@@ -74,11 +76,11 @@
         self._tasks.add(asyncio.ensure_future(self._bring_back(backend)))
 
     async def _bring_back(self, backend: FakeBackend) -> None:
-        await asyncio.sleep(BACK_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         place, _, number = backend.id.partition("-")
         port = int(backend.address.rpartition(":")[2])
         await self._start(f"{place}-{int(number or 1) + 1}", port)
-        await asyncio.sleep(LAPSE_S - BACK_S)
+        await asyncio.sleep(RECORD_EXPIRY_S - RESTART_DELAY_S)
         self._site.store.put(BACKENDS, backend.id, b"")
 
 
--- a/tests/platform/fakecallers.py
+++ b/tests/platform/fakecallers.py
@@ -12,14 +12,14 @@
 KEY = "key-of-metro"
 
 
-class Answer:
+class CallerResponse:
     """Hold an answer as a caller saw it."""
 
     def __init__(self, status: int, headers: dict[str, str], body: bytes) -> None:
         self.status = status
         self.headers = headers
         self.body = body
-        self.whole = True
+        self.is_complete = True
 
     @property
     def event_ids(self) -> list[int]:
@@ -27,7 +27,7 @@
         return [int(found.group(1)) for found in EVENT.finditer(self.body)]
 
     @property
-    def stray(self) -> bytes:
+    def stray_bytes(self) -> bytes:
         """Give what belongs to no whole event; also a cut answer ends with one."""
         at = 0
         for found in EVENT.finditer(self.body):
@@ -46,7 +46,7 @@
     host: str = HOST,
     key: str | None = KEY,
     **fields: str,
-) -> Answer:
+) -> CallerResponse:
     """Send one request on a connection of its own and read the answer."""
     ip, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(ip, int(port))
@@ -54,7 +54,7 @@
         render_request(path, method=method, body=body, host=host, key=key, **fields)
     )
     try:
-        return await read_answer(reader)
+        return await read_response(reader)
     finally:
         writer.close()
 
@@ -66,19 +66,19 @@
     "X_Length_Hint": "10",
 }
 """What a caller states of a request that a model answers with events."""
-Ask = Callable[..., Awaitable[Answer]]
+SendRequest = Callable[..., Awaitable[CallerResponse]]
 
 
 @contextlib.asynccontextmanager
-async def open_connection(address: str) -> AsyncIterator[Ask]:
+async def open_connection(address: str) -> AsyncIterator[SendRequest]:
     """Open a connection that is kept; give what asks a model over it."""
     ip, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(ip, int(port))
 
-    async def ask(path: str, **more: str) -> Answer:
+    async def ask(path: str, **more: str) -> CallerResponse:
         fields = MODEL_FIELDS | more
         writer.write(render_request(path, method="POST", body=b"{}", **fields))
-        return await read_answer(reader)
+        return await read_response(reader)
 
     try:
         yield ask
@@ -107,7 +107,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
-async def read_answer(reader: asyncio.StreamReader) -> Answer:
+async def read_response(reader: asyncio.StreamReader) -> CallerResponse:
     """Read one answer; `whole` tells whether it came to its end."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     line, *rows = head.strip().split("\r\n")
@@ -115,7 +115,7 @@
         name.lower(): value.strip()
         for name, _, value in (row.partition(":") for row in rows)
     }
-    found = Answer(int(line.split(" ")[1]), headers, b"")
+    found = CallerResponse(int(line.split(" ")[1]), headers, b"")
     try:
         if headers.get("transfer-encoding") == "chunked":
             await _read_chunks(reader, found)
@@ -123,11 +123,11 @@
             length = int(headers.get("content-length", "0"))
             found.body = await reader.readexactly(length)
     except (asyncio.IncompleteReadError, ConnectionError):
-        found.whole = False
+        found.is_complete = False
     return found
 
 
-async def _read_chunks(reader: asyncio.StreamReader, found: Answer) -> None:
+async def _read_chunks(reader: asyncio.StreamReader, found: CallerResponse) -> None:
     while True:
         size = int((await reader.readuntil(b"\r\n")).strip(), 16)
         data = await reader.readexactly(size + 2)
--- a/tests/platform/fakes.py
+++ b/tests/platform/fakes.py
@@ -12,7 +12,7 @@
 SIGNATURE = "signed-by-the-backend"
 
 
-class Seen:
+class ReceivedRequest:
     """Hold one request as a backend server saw it."""
 
     def __init__(self, method: str, target: str, headers: dict[str, str]) -> None:
@@ -20,21 +20,23 @@
         self.target = target
         self.headers = headers
         self.body = b""
-        self.cut = False
+        self.was_aborted = False
         """Whether the caller closed its connection while the answer was made."""
         self.cold_left_s = 0.0
         """How long the server says that it stays cold, in its answer."""
 
 
-Behaviour = Callable[["FakeBackend", Seen, asyncio.StreamWriter], Awaitable[None]]
+Behaviour = Callable[
+    ["FakeBackend", ReceivedRequest, asyncio.StreamWriter], Awaitable[None]
+]
 OnCrash = Callable[["FakeBackend"], None]
-OnArrival = Callable[["FakeBackend", Seen, bool], None]
+OnArrival = Callable[["FakeBackend", ReceivedRequest, bool], None]
 """Take in a request that arrived, and whether it is executed."""
 NOT_EXECUTED = ("shed", "misdirected")
 BEHAVIOURS: dict[str, Behaviour] = {}
 
 
-def behaves(name: str) -> Callable[[Behaviour], Behaviour]:
+def register_behaviour(name: str) -> Callable[[Behaviour], Behaviour]:
     """Enter a way to answer under a name."""
 
     def enter(behaviour: Behaviour) -> Behaviour:
@@ -65,14 +67,14 @@
         self.cold_until = time.monotonic() + cold_s
         self.cold_arrivals: list[float] = []
         """When requests came while it was cold."""
-        self.tells_cold = False
+        self.reports_cold = False
         """Whether its answers say how long it stays cold."""
         self.behaviour = "answer"
         self.confidence: dict[str, int] = {}
         """By model; 100 where it is missing."""
         self.events = 3
         self.pause_s = 0.0
-        self.seen: list[Seen] = []
+        self.seen: list[ReceivedRequest] = []
         self.on_arrival: OnArrival = lambda backend, seen, executed: None
         self.crash_on = b""
         """Part of a body under which it crashes; none where empty."""
@@ -105,11 +107,11 @@
         """Give how much longer it is cold."""
         return max(0.0, self.cold_until - time.monotonic())
 
-    def turn_cold(self, seconds: float) -> None:
+    def become_cold(self, seconds: float) -> None:
         """Become cold, as after a start."""
         self.cold_until = time.monotonic() + seconds
 
-    def count_most_cold(self) -> int:
+    def count_peak_cold_arrivals(self) -> int:
         """Return the most requests that came within one second while it was cold."""
         times = sorted(self.cold_arrivals)
         return max((sum(t <= u < t + 1.0 for u in times) for t in times), default=0)
@@ -136,12 +138,12 @@
             writer.transport.abort()
         self.on_crash(self)
 
-    def _crashes_under(self, seen: Seen) -> bool:
+    def _crashes_under(self, seen: ReceivedRequest) -> bool:
         if self.crash_account not in ("", seen.headers.get("x-tenant")):
             return False
         return bool(self.crash_on) and self.crash_on in seen.body
 
-    def _choose_behaviour(self, seen: Seen) -> str:
+    def _choose_behaviour(self, seen: ReceivedRequest) -> str:
         asked_for = seen.headers.get("x-target-instance", self.id)
         if asked_for != self.id:
             return "misdirected"
@@ -158,13 +160,13 @@
                 behaviour = self._choose_behaviour(seen)
                 if self.cold_left_s and behaviour != "misdirected":
                     self.cold_arrivals.append(time.monotonic())
-                seen.cold_left_s = self.cold_left_s if self.tells_cold else 0.0
+                seen.cold_left_s = self.cold_left_s if self.reports_cold else 0.0
                 self.on_arrival(self, seen, behaviour not in NOT_EXECUTED)
                 work = asyncio.ensure_future(BEHAVIOURS[behaviour](self, seen, writer))
                 while not work.done():
                     await asyncio.wait({work}, timeout=0.02)
                     if reader.at_eof() and not work.done():
-                        seen.cut = True
+                        seen.was_aborted = True
                         work.cancel()
                         return
                 work.result()
@@ -175,7 +177,7 @@
             writer.close()
 
 
-async def _read_request(reader: asyncio.StreamReader) -> Seen:
+async def _read_request(reader: asyncio.StreamReader) -> ReceivedRequest:
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     line, *fields = head.strip().split("\r\n")
     method, target, _ = line.split(" ")
@@ -183,12 +185,12 @@
         name.lower(): value.strip()
         for name, _, value in (field.partition(":") for field in fields)
     }
-    seen = Seen(method, target, headers)
+    seen = ReceivedRequest(method, target, headers)
     seen.body = await reader.readexactly(int(headers.get("content-length", "0")))
     return seen
 
 
-def render_head(seen: Seen, status: int, **more: str) -> bytes:
+def render_response_head(seen: ReceivedRequest, status: int, **more: str) -> bytes:
     """Return the head of an answer that belongs to a request."""
     fields = {"X-Attempt-Id": seen.headers.get("x-attempt-id", "")}
     if status < 300 or status >= 500:
@@ -201,9 +203,9 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
 
-@behaves("answer")
+@register_behaviour("answer")
 async def answer(
-    backend: FakeBackend, seen: Seen, writer: asyncio.StreamWriter
+    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Answer whole; as events where a model is asked."""
     await asyncio.sleep(backend.pause_s)
@@ -211,17 +213,21 @@
         await stream(backend, seen, writer)
         return
     body = f"answer of {backend.id}".encode()
-    writer.write(render_head(seen, 200, Content_Length=str(len(body))) + body)
+    writer.write(render_response_head(seen, 200, Content_Length=str(len(body))) + body)
 
 
 async def stream(
-    backend: FakeBackend, seen: Seen, writer: asyncio.StreamWriter, *, cut: int = -1
+    backend: FakeBackend,
+    seen: ReceivedRequest,
+    writer: asyncio.StreamWriter,
+    *,
+    cut: int = -1,
 ) -> None:
     """Send events after the last one that the caller has; break off within one."""
     model = seen.headers["x-model"]
     confidence = str(backend.confidence.get(model, 100))
     writer.write(
-        render_head(
+        render_response_head(
             seen,
             200,
             Content_Type="text/event-stream",
@@ -248,57 +254,65 @@
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
 
 
-@behaves("stream_cut")
+@register_behaviour("stream_cut")
 async def cut_stream(
-    backend: FakeBackend, seen: Seen, writer: asyncio.StreamWriter
+    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Break off within the second event."""
     await stream(backend, seen, writer, cut=2)
 
 
-@behaves("fail")
-async def fail(backend: FakeBackend, seen: Seen, writer: asyncio.StreamWriter) -> None:
+@register_behaviour("fail")
+async def fail(
+    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Run the request and fail."""
     body = b"own failure"
-    writer.write(render_head(seen, 500, Content_Length=str(len(body))) + body)
+    writer.write(render_response_head(seen, 500, Content_Length=str(len(body))) + body)
 
 
-@behaves("shed")
-async def shed(backend: FakeBackend, seen: Seen, writer: asyncio.StreamWriter) -> None:
+@register_behaviour("shed")
+async def shed(
+    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Refuse without running it."""
-    writer.write(render_head(seen, 503, X_Not_Executed="1", Content_Length="0"))
+    writer.write(
+        render_response_head(seen, 503, X_Not_Executed="1", Content_Length="0")
+    )
 
 
-@behaves("misdirected")
+@register_behaviour("misdirected")
 async def misdirect(
-    backend: FakeBackend, seen: Seen, writer: asyncio.StreamWriter
+    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Refuse what was meant for another backend server that had this address."""
-    writer.write(render_head(seen, 421, Content_Length="0"))
+    writer.write(render_response_head(seen, 421, Content_Length="0"))
 
 
-@behaves("mute")
+@register_behaviour("mute")
 async def stay_mute(
-    backend: FakeBackend, seen: Seen, writer: asyncio.StreamWriter
+    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Run it and never answer."""
     await asyncio.sleep(30)
 
 
-@behaves("cut")
-async def cut(backend: FakeBackend, seen: Seen, writer: asyncio.StreamWriter) -> None:
+@register_behaviour("cut")
+async def cut(
+    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Break off in the middle of the body."""
-    writer.write(render_head(seen, 200, Content_Length="100") + b"half")
+    writer.write(render_response_head(seen, 200, Content_Length="100") + b"half")
     await writer.drain()
     writer.transport.abort()
 
 
-@behaves("unframed_reset")
+@register_behaviour("unframed_reset")
 async def reset_unframed(
-    backend: FakeBackend, seen: Seen, writer: asyncio.StreamWriter
+    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Send a body without a length and reset the connection instead of closing it."""
-    writer.write(render_head(seen, 200) + b"half of a body")
+    writer.write(render_response_head(seen, 200) + b"half of a body")
     await writer.drain()
     await asyncio.sleep(0.02)
     sock = writer.get_extra_info("socket")
@@ -306,37 +320,37 @@
     writer.transport.abort()
 
 
-@behaves("unframed")
+@register_behaviour("unframed")
 async def answer_unframed(
-    backend: FakeBackend, seen: Seen, writer: asyncio.StreamWriter
+    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Send a whole body that ends with its connection."""
-    writer.write(render_head(seen, 200) + b"whole body")
+    writer.write(render_response_head(seen, 200) + b"whole body")
     await writer.drain()
     writer.close()
 
 
-@behaves("extra")
+@register_behaviour("extra")
 async def answer_twice(
-    backend: FakeBackend, seen: Seen, writer: asyncio.StreamWriter
+    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Send another answer behind a whole one."""
     await answer(backend, seen, writer)
-    writer.write(render_head(seen, 200, Content_Length="5") + b"stray")
+    writer.write(render_response_head(seen, 200, Content_Length="5") + b"stray")
 
 
-@behaves("other_id")
+@register_behaviour("other_id")
 async def answer_other(
-    backend: FakeBackend, seen: Seen, writer: asyncio.StreamWriter
+    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Send the answer of another request."""
-    other = Seen("GET", "/", {"x-attempt-id": "of-somebody-else"})
-    writer.write(render_head(other, 200, Content_Length="5") + b"other")
+    other = ReceivedRequest("GET", "/", {"x-attempt-id": "of-somebody-else"})
+    writer.write(render_response_head(other, 200, Content_Length="5") + b"other")
 
 
-@behaves("unsigned")
+@register_behaviour("unsigned")
 async def answer_unsigned(
-    backend: FakeBackend, seen: Seen, writer: asyncio.StreamWriter
+    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Claim success without a signature."""
     id = seen.headers["x-attempt-id"]
@@ -345,13 +359,13 @@
     )
 
 
-@behaves("crash")
+@register_behaviour("crash")
 async def crash_under(
-    backend: FakeBackend, seen: Seen, writer: asyncio.StreamWriter
+    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Begin to run it, with the head of a stream where it is one, and crash."""
     if "x-model" in seen.headers:
-        head = render_head(
+        head = render_response_head(
             seen,
             200,
             Content_Type="text/event-stream",
--- a/tests/platform/fakestore.py
+++ b/tests/platform/fakestore.py
@@ -24,7 +24,7 @@
     def __init__(self, *, network: LoopbackNetwork | None = None) -> None:
         self._network = network or own_network()
         self.topics: dict[str, list[tuple[str, bytes]]] = {}
-        self.first: dict[str, int] = {}
+        self.first_offsets: dict[str, int] = {}
         self.fault = ""
         """One of busy, silent, lost, trickle; empty for none."""
         self.calls: list[str] = []
@@ -108,15 +108,17 @@
 
     async def _answer_read(self, query: Any) -> web.Response:
         topic, start = query["topic"], int(query["from"])
-        if start < self.first.get(topic, 0):
-            return web.json_response({"first_offset": self.first[topic]}, status=410)
+        if start < self.first_offsets.get(topic, 0):
+            return web.json_response(
+                {"first_offset": self.first_offsets[topic]}, status=410
+            )
         wait_s = int(query.get("wait_ms", 0)) / 1000
         if wait_s and start >= len(self.topics.get(topic, [])):
             grown = self._grown
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(grown.wait(), wait_s)
         records = self.topics.get(topic, [])
-        body = struct.pack(">QQ", len(records), self.first.get(topic, 0))
+        body = struct.pack(">QQ", len(records), self.first_offsets.get(topic, 0))
         for key, value in records[start:]:
             content = bytes([len(key)]) + key.encode() + value
             body += struct.pack(">I", len(content)) + content
--- a/tests/platform/site.py
+++ b/tests/platform/site.py
@@ -12,19 +12,19 @@
 
 from baobabthread.instance.process import Instance, Outside
 from baobabthread.instance.settings import InstanceSettings
-from baobabthread.platform.headers import PlatformWire
+from baobabthread.platform.headers import PlatformWireFormat
 from baobabthread.platform.interface import PlatformInterface
-from baobabthread.platform.records import PlatformRecords
+from baobabthread.platform.records import PlatformRecordFormat
 from baobabthread.platform.settings import parse_settings
 from baobabthread.platform.store import PlatformStore
 from baobabthread.routing.mechanisms import NONE_OFF, Switches
 from baobabthread.standins.loopback import own_network
-from tests.platform.fakecallers import HOST, KEY, MODEL_FIELDS, Answer, call
+from tests.platform.fakecallers import HOST, KEY, MODEL_FIELDS, CallerResponse, call
 from tests.platform.fakes import FakeBackend
 from tests.platform.fakestore import BACKENDS, OPERATORS, FakeStore
 
 MODELS = ["small", "middle", "large"]
-READY_S = 5.0
+READY_TIMEOUT_S = 5.0
 TIME_LIMIT_MS = 2000
 
 
@@ -99,7 +99,7 @@
         """Ask that a zone's backend servers get nothing more."""
         self.store.put(OPERATORS, f"evacuate/{zone}", {})
 
-    def take_evacuation_back(self, zone: str) -> None:
+    def end_evacuation(self, zone: str) -> None:
         """Open a zone again."""
         self.store.put(OPERATORS, f"evacuate/{zone}", b"")
 
@@ -137,8 +137,8 @@
         )
         outside = Outside(
             store=PlatformStore(address=settings.store_address, connect_s=0.3),
-            formats=PlatformRecords(),
-            wire=PlatformWire(),
+            formats=PlatformRecordFormat(),
+            wire=PlatformWireFormat(),
             make_interface=lambda is_ready, find: PlatformInterface(
                 is_ready=is_ready, find_addresses=find
             ),
@@ -166,17 +166,17 @@
         )
         await asyncio.sleep(0.15)
 
-    async def call(self, path: str, *, index: int = 0, **more: Any) -> Answer:
+    async def call(self, path: str, *, index: int = 0, **more: Any) -> CallerResponse:
         """Send a request to an instance."""
         return await call(self.settings[index].callers_address, path, **more)
 
-    async def ask_model(self, path: str = "/stream/x", **more: Any) -> Answer:
+    async def call_model(self, path: str = "/stream/x", **more: Any) -> CallerResponse:
         """Send a request that a model answers with events."""
         fields = MODEL_FIELDS | more
         return await self.call(path, method="POST", body=b"{}", **fields)
 
 
-async def wait_for(condition: Any, seconds: float = READY_S) -> None:
+async def wait_for(condition: Any, seconds: float = READY_TIMEOUT_S) -> None:
     """Wait until something holds; fail when it doesn't in time."""
     for _ in range(int(seconds / 0.02)):
         if condition():
--- a/tests/platform/test_cold.py
+++ b/tests/platform/test_cold.py
@@ -9,7 +9,7 @@
 import pytest
 
 from baobabthread.instance import process
-from tests.platform.fakecallers import Answer
+from tests.platform.fakecallers import CallerResponse
 from tests.platform.fakestore import BACKENDS, OPERATORS
 from tests.platform.site import Site, open_site, run, wait_for
 
@@ -39,7 +39,9 @@
     return [answer.status for answer in answers]
 
 
-async def ask_many(site: Site, seconds: float, *, every_s: float) -> list[Answer]:
+async def ask_many(
+    site: Site, seconds: float, *, every_s: float
+) -> list[CallerResponse]:
     """Send many requests to all instances and return the answers."""
     asking = []
     for number in range(int(seconds / every_s)):
@@ -59,7 +61,7 @@
             await wait_for(lambda: "p2" in site.instances[0].knowledge.backends, 2.0)
             statuses = await press(site, 1.5)
             assert set(statuses) == {200}
-            assert cold.count_most_cold() <= MOST
+            assert cold.count_peak_cold_arrivals() <= MOST
 
     run(case())
 
@@ -75,7 +77,7 @@
             for index in range(3):
                 await site.wait_ready(index)
             answers = await ask_many(site, 1.5, every_s=0.03)
-            assert cold.count_most_cold() <= MOST
+            assert cold.count_peak_cold_arrivals() <= MOST
             refused = [answer for answer in answers if answer.status == 503]
             assert refused
             for answer in refused:
@@ -92,11 +94,11 @@
         async with open_site("p1", services=SERVICES) as site:
             server = site.backends[0]
             assert (await site.call("/safe/x")).status == 200
-            server.turn_cold(2.0)
-            server.tells_cold = True
+            server.become_cold(2.0)
+            server.reports_cold = True
             assert (await site.call("/safe/x")).status == 200
             statuses = await press(site, 1.0)
-            assert server.count_most_cold() <= MOST
+            assert server.count_peak_cold_arrivals() <= MOST
             assert 503 in statuses
 
     run(case())
@@ -111,12 +113,12 @@
     async def case() -> None:
         async with open_site("p1", services=SERVICES) as site:
             server = site.backends[0]
-            server.turn_cold(5.0)
-            server.tells_cold = True
+            server.become_cold(5.0)
+            server.reports_cold = True
             assert (await site.call("/safe/x")).status == 200
             asking = [site.call("/safe/x", X_Attempt_Id=f"a{n}") for n in range(40)]
             statuses = [answer.status for answer in await asyncio.gather(*asking)]
-            assert server.count_most_cold() <= MOST
+            assert server.count_peak_cold_arrivals() <= MOST
             assert 503 in statuses
 
     run(case())
@@ -126,12 +128,12 @@
     async def case() -> None:
         async with open_site("p1", services=SERVICES) as site:
             server = site.backends[0]
-            server.turn_cold(3.0)
+            server.become_cold(3.0)
             site.store.put(BACKENDS, "p1", server.record | {"seq": 2})
             cold = site.instances[0].knowledge.cold
             await wait_for(lambda: cold.names() == ["p1"], 2.0)
             await press(site, 1.0)
-            assert server.count_most_cold() <= MOST
+            assert server.count_peak_cold_arrivals() <= MOST
 
     run(case())
 
@@ -149,12 +151,12 @@
             knowledge = site.instances[0].knowledge
             site.evacuate("b")
             await wait_for(lambda: knowledge.evacuations.domains, 2.0)
-            server.turn_cold(2.0)
-            site.take_evacuation_back("b")
+            server.become_cold(2.0)
+            site.end_evacuation("b")
             await wait_for(lambda: not knowledge.evacuations.domains, 2.0)
             await press(site, 1.9)
             assert server.cold_arrivals
-            assert server.count_most_cold() <= MOST
+            assert server.count_peak_cold_arrivals() <= MOST
 
     run(case())
 
--- a/tests/platform/test_crashes.py
+++ b/tests/platform/test_crashes.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from tests.platform.crashes import MARK, Places
-from tests.platform.fakecallers import KEY, Answer, call
+from tests.platform.crashes import CRASH_MARK, RestartingBackends
+from tests.platform.fakecallers import KEY, CallerResponse, call
 from tests.platform.fakestore import OPERATORS, STATUS
 from tests.platform.site import Site, open_site, run, wait_for
 
@@ -36,13 +36,13 @@
 
 
 @contextlib.asynccontextmanager
-async def open_places(
+async def open_restarting_backends(
     *, service: str, servers: int = 4, instances: int = 3, crash_account: str = ""
-) -> AsyncIterator[tuple[Site, Places]]:
+) -> AsyncIterator[tuple[Site, RestartingBackends]]:
     """Open several instances before places whose servers come back after a crash."""
     async with open_site() as site:
         site.configure(2, tenants=TENANTS)
-        places = Places(site, service=service)
+        places = RestartingBackends(site, service=service)
         places.crash_account = crash_account
         try:
             for number in range(servers):
@@ -58,7 +58,7 @@
 
 async def ask(
     site: Site, path: str, body: bytes, *, index: int = 0, key: str | None = KEY
-) -> Answer | None:
+) -> CallerResponse | None:
     """Send a request; return nothing where its connection ends without an answer."""
     fields: dict[str, str] = {}
     if path.startswith(("/stream", "/once")):
@@ -71,27 +71,29 @@
 
 async def ask_often(
     site: Site, path: str, *, rounds: int = ROUNDS, at_once: int = 1, **more: Any
-) -> list[Answer | None]:
+) -> list[CallerResponse | None]:
     """Send the same request again and again, each time to another instance."""
-    answers: list[Answer | None] = []
+    answers: list[CallerResponse | None] = []
     for number in range(rounds):
         began = time.monotonic()
         index = number % len(site.instances)
         answers += await asyncio.gather(
-            *(ask(site, path, MARK, index=index, **more) for _ in range(at_once))
+            *(ask(site, path, CRASH_MARK, index=index, **more) for _ in range(at_once))
         )
         await asyncio.sleep(max(0.0, ROUND_S - (time.monotonic() - began)))
     return answers
 
 
-def check_stopped(places: Places) -> None:
+def check_stopped(places: RestartingBackends) -> None:
     """Check that the request reached hardly any server once it was known."""
     assert len(places.crashes) >= 3
     third = places.crashes[2].at
-    assert places.count_later(MARK, third + CONTACT_S) <= MOST_LATER
+    assert places.count_arrivals(CRASH_MARK, third + CONTACT_S) <= MOST_LATER
 
 
-async def keep_asking(site: Site, path: str, answers: list[Answer | None]) -> None:
+async def keep_asking(
+    site: Site, path: str, answers: list[CallerResponse | None]
+) -> None:
     """Send good requests of the same account until cancelled."""
     number = 0
     while True:
@@ -125,8 +127,8 @@
     """
 
     async def case() -> None:
-        async with open_places(service=service) as (site, places):
-            good: list[Answer | None] = []
+        async with open_restarting_backends(service=service) as (site, places):
+            good: list[CallerResponse | None] = []
             others = asyncio.ensure_future(keep_asking(site, path, good))
             await asyncio.sleep(0.3)
             await ask_often(site, path, at_once=at_once)
@@ -159,7 +161,7 @@
     return site.instances[index].peers.quarantine.holds_any
 
 
-def read_kind(answer: Answer | None) -> str:
+def read_kind(answer: CallerResponse | None) -> str:
     if answer is None or not answer.body.startswith(b"{"):
         return ""
     return str(json.loads(answer.body).get("kind", ""))
@@ -172,12 +174,12 @@
     """
 
     async def case() -> None:
-        async with open_places(service="plain") as (site, places):
+        async with open_restarting_backends(service="plain") as (site, places):
             await bring_about(site)
             for index in range(3):
                 arrived = len(places.arrivals)
                 began = time.monotonic()
-                answer = await ask(site, "/safe/x", MARK, index=index)
+                answer = await ask(site, "/safe/x", CRASH_MARK, index=index)
                 assert time.monotonic() - began < 0.3
                 assert answer is not None
                 assert (answer.status, read_kind(answer)) == (503, "quarantined")
@@ -198,11 +200,16 @@
     """
 
     async def case() -> None:
-        async with open_places(service="plain", crash_account="metro") as (site, _):
+        async with open_restarting_backends(service="plain", crash_account="metro") as (
+            site,
+            _,
+        ):
             await bring_about(site)
             await forget_crashed(site)
             for index in range(3):
-                other = await ask(site, "/safe/x", MARK, index=index, key=OTHER_KEY)
+                other = await ask(
+                    site, "/safe/x", CRASH_MARK, index=index, key=OTHER_KEY
+                )
                 assert other is not None
                 assert (other.status, read_kind(other)) == (200, "")
                 for path, body in (("/safe/x", b"else"), ("/safe/x?y", b"good")):
@@ -220,7 +227,7 @@
     """
 
     async def case() -> None:
-        async with open_places(service="plain") as (site, places):
+        async with open_restarting_backends(service="plain") as (site, places):
             await bring_about(site)
             await wait_for(
                 lambda: any(
@@ -239,7 +246,7 @@
             await wait_for(lambda: all(holds(site, n) for n in range(3)), CONTACT_S)
             arrived = len(places.arrivals)
             for index in range(3):
-                answer = await ask(site, "/safe/x", MARK, index=index)
+                answer = await ask(site, "/safe/x", CRASH_MARK, index=index)
                 assert read_kind(answer) == "quarantined"
             assert len(places.arrivals) == arrived
 
@@ -250,7 +257,7 @@
     """An instance starts while the store refuses all calls; a peer tells it."""
 
     async def case() -> None:
-        async with open_places(service="plain", instances=2) as (site, _):
+        async with open_restarting_backends(service="plain", instances=2) as (site, _):
             await bring_about(site)
             site.store.fault = "busy"
             index = await site.add_instance("i9", ip="127.0.0.9")
@@ -263,12 +270,12 @@
     """An instance hears no other one while three servers crash, then it does again."""
 
     async def case() -> None:
-        async with open_places(service="plain") as (site, _):
+        async with open_restarting_backends(service="plain") as (site, _):
             link = site.instances[2].peers
             hear = link.datagram_received
             link.datagram_received = lambda data, addr: None  # type: ignore[method-assign]
             for number in range(4):
-                await ask(site, "/safe/x", MARK, index=number % 2)
+                await ask(site, "/safe/x", CRASH_MARK, index=number % 2)
                 await asyncio.sleep(ROUND_S)
             assert holds(site, 0)
             assert not holds(site, 2)
@@ -282,7 +289,7 @@
     """The instance that would judge the crashes stands still; the next one does."""
 
     async def case() -> None:
-        async with open_places(service="plain") as (site, places):
+        async with open_restarting_backends(service="plain") as (site, places):
             await wait_for(
                 lambda: all(
                     len(i.peers.membership.alive()) == 3 for i in site.instances
@@ -300,9 +307,9 @@
     run(case())
 
 
-async def roll_out_crashing(site: Site) -> Places:
+async def roll_out_crashing(site: Site) -> RestartingBackends:
     """Order a version that crashes under every good request; return its places."""
-    bad = Places(site, service="plain", version="v2")
+    bad = RestartingBackends(site, service="plain", version="v2")
     bad.crash_on = b"good"
     for number in range(4):
         await bad.add(f"n{number}")
@@ -319,9 +326,9 @@
     """
 
     async def case() -> None:
-        async with open_places(service="plain") as (site, _):
+        async with open_restarting_backends(service="plain") as (site, _):
             bad = await roll_out_crashing(site)
-            answers: list[Answer | None] = []
+            answers: list[CallerResponse | None] = []
             others = asyncio.ensure_future(keep_asking(site, "/safe/x", answers))
             await wait_for(lambda: len(bad.crashes) >= 2, 20.0)
             await wait_for(
@@ -345,9 +352,9 @@
     """
 
     async def case() -> None:
-        async with open_places(service="plain") as (site, _):
+        async with open_restarting_backends(service="plain") as (site, _):
             bad = await roll_out_crashing(site)
-            answers: list[Answer | None] = []
+            answers: list[CallerResponse | None] = []
             others = asyncio.ensure_future(keep_asking(site, "/safe/x", answers))
             await wait_for(
                 lambda: site.store.status("plain").get("state", "running") != "running",
--- a/tests/platform/test_evacuations.py
+++ b/tests/platform/test_evacuations.py
@@ -37,7 +37,7 @@
             find(site, "e1").confidence = {"small": 10, "middle": 10}
             for _ in range(4):
                 assert (await site.call("/safe/x")).status == 500
-                answer = await site.ask_model()
+                answer = await site.call_model()
                 assert answer.status == 200
                 assert b"large" in answer.body
             assert not find(site, "p2").seen
@@ -56,8 +56,8 @@
             find(site, "e1").behaviour = "stream_cut"
             # No more than the budget of repeats of so small an installation bears.
             for _ in range(3):
-                answer = await site.ask_model()
-                assert (answer.status, answer.whole) == (200, True)
+                answer = await site.call_model()
+                assert (answer.status, answer.is_complete) == (200, True)
             assert not find(site, "e2").seen
 
     run(case())
@@ -93,13 +93,13 @@
         async with open_site("e1@b") as site:
             engine = find(site, "e1")
             engine.events, engine.pause_s = 8, 0.15
-            asking = asyncio.ensure_future(site.ask_model())
+            asking = asyncio.ensure_future(site.call_model())
             await wait_for(lambda: engine.seen, 2.0)
             site.evacuate("b")
             await wait_known(site, "b")
             answer = await asking
-            assert (answer.status, answer.whole) == (200, True)
-            assert (await site.ask_model()).status == 503
+            assert (answer.status, answer.is_complete) == (200, True)
+            assert (await site.call_model()).status == 503
             assert len(engine.seen) == 1
 
     run(case())
@@ -111,11 +111,11 @@
     async def case() -> None:
         async with open_site("p1@b") as site:
             site.evacuate("b")
-            site.take_evacuation_back("b")
+            site.end_evacuation("b")
             site.evacuate("b")
             await wait_known(site, "b")
             assert (await site.call("/safe/x")).status == 503
-            site.take_evacuation_back("b")
+            site.end_evacuation("b")
             await wait_known(site)
             assert (await site.call("/safe/x")).status == 200
 
@@ -178,9 +178,9 @@
             await wait_known(site, "b")
             site.store.fault = "busy"
             await asyncio.sleep(0.6)
-            site.take_evacuation_back("b")
+            site.end_evacuation("b")
             site.configure(2)
-            site.store.first[OPERATORS] = len(site.store.topics[OPERATORS])
+            site.store.first_offsets[OPERATORS] = len(site.store.topics[OPERATORS])
             site.store.fault = ""
             await wait_known(site)
             assert (await site.call("/safe/x")).status == 200
--- a/tests/platform/test_instances.py
+++ b/tests/platform/test_instances.py
@@ -195,7 +195,7 @@
     tasks = []
     for number in range(count):
         session = f"{prefix}{number}"
-        tasks.append(asyncio.ensure_future(site.ask_model(Session=session)))
+        tasks.append(asyncio.ensure_future(site.call_model(Session=session)))
         await asyncio.sleep(pause_s)
     return [await task for task in tasks]
 
@@ -280,7 +280,7 @@
             put_rollout(site, "v2", 60.0)
             await site.wait_ready()
             index = await site.add_instance("i2", ip="127.0.0.2")
-            answers = [await site.ask_model(index=index) for _ in range(8)]
+            answers = [await site.call_model(index=index) for _ in range(8)]
             assert all(answer.status == 200 for answer in answers)
             assert not any(backend.seen for backend in site.backends[1:])
 
--- a/tests/platform/test_mechanisms.py
+++ b/tests/platform/test_mechanisms.py
@@ -19,8 +19,8 @@
     async with open_site("e1", "e2", off=switches) as site:
         for backend in site.backends:
             backend.confidence = {"small": confidence}
-        answer = await site.ask_model()
-        assert answer.whole
+        answer = await site.call_model()
+        assert answer.is_complete
         seen = [s for backend in site.backends for s in backend.seen]
         return sorted(s.headers["x-model"] for s in seen)
 
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.platform.fakecallers import KEY, read_answer
+from tests.platform.fakecallers import KEY, read_response
 from tests.platform.fakestore import OPERATORS
 from tests.platform.site import make_configuration, open_site, run, wait_for
 
@@ -106,7 +106,7 @@
                 b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
                 b"GET /open/hidden HTTP/1.1\r\nHost: api.example\r\n\r\n"
             )
-            answer = await read_answer(reader)
+            answer = await read_response(reader)
             assert answer.status == 400
             assert await reader.read() == b""
             assert not site.backends[0].seen
@@ -131,7 +131,7 @@
                 backend.behaviour = fault
             answer = await site.call("/unsafe/x", method="POST", body=b"warn")
             assert answer.status in (502, 504)
-            assert answer.whole
+            assert answer.is_complete
             assert sum(len(b.seen) for b in site.backends) == 1
 
     run(case())
@@ -243,7 +243,7 @@
             )
             await wait_for(lambda: site.backends[0].seen)
             writer.close()
-            await wait_for(lambda: site.backends[0].seen[0].cut, 0.5)
+            await wait_for(lambda: site.backends[0].seen[0].was_aborted, 0.5)
 
     run(case())
 
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from baobabthread.platform.store import _read_steadily
+from baobabthread.platform.store import _read_body
 from tests.platform.site import run
 
 STEPS = 12
@@ -38,7 +38,7 @@
 
     async def case() -> None:
         answer: Any = LongAnswer()
-        reader = asyncio.ensure_future(_read_steadily(answer))
+        reader = asyncio.ensure_future(_read_body(answer))
         for _ in range(steps):
             await asyncio.sleep(0)
         reader.cancel()
--- a/tests/platform/test_streams.py
+++ b/tests/platform/test_streams.py
@@ -12,20 +12,20 @@
 from baobabthread.routing.stopping import plan_stop
 from baobabthread.routing.table import Envelope
 from baobabthread.routing.versions import VersionPlan
-from tests.platform.fakecallers import HOST, Answer
+from tests.platform.fakecallers import HOST, CallerResponse
 from tests.platform.site import Site, open_site, run
 
 
-def check_whole(answer: Answer, events: int) -> None:
+def check_whole(answer: CallerResponse, events: int) -> None:
     """Check that each event came once and in order, and that the stream ended."""
-    assert answer.whole
+    assert answer.is_complete
     assert answer.event_ids == list(range(1, events + 1))
 
 
 def test_pass_events_on() -> None:
     async def case() -> None:
         async with open_site("e1") as site:
-            answer = await site.ask_model()
+            answer = await site.call_model()
             check_whole(answer, 3)
             seen = site.backends[0].seen[0]
             assert seen.headers["x-model"] == "small"
@@ -39,7 +39,7 @@
     async def case() -> None:
         async with open_site("e1") as site:
             site.backends[0].confidence = {"middle": 0}
-            await site.ask_model(X_Model="middle")
+            await site.call_model(X_Model="middle")
             assert [s.headers["x-model"] for s in site.backends[0].seen] == ["middle"]
 
     run(case())
@@ -62,7 +62,7 @@
     async def case() -> None:
         async with open_site("e1") as site:
             site.backends[0].confidence = confidence
-            answer = await site.ask_model()
+            answer = await site.call_model()
             check_whole(answer, 3)
             assert asked[-1].encode() in answer.body
             found = [seen.headers["x-model"] for seen in site.backends[0].seen]
@@ -87,7 +87,7 @@
                 backend.events = 4
             site.backends[1].behaviour = "answer"
             for _ in range(3):
-                check_whole(await site.ask_model(), 4)
+                check_whole(await site.call_model(), 4)
             resumed = [
                 seen.headers["last-event-id"]
                 for seen in site.backends[1].seen
@@ -108,8 +108,8 @@
         async with open_site("e1", "e2") as site:
             for backend in site.backends:
                 backend.behaviour = "stream_cut"
-            answer = await site.ask_model("/once/x")
-            assert not answer.whole
+            answer = await site.call_model("/once/x")
+            assert not answer.is_complete
             assert answer.event_ids == [1]
             assert sum(len(b.seen) for b in site.backends) == 1
 
@@ -119,8 +119,8 @@
 def test_go_on_after_the_event_that_the_caller_has() -> None:
     async def case() -> None:
         async with open_site("e1") as site:
-            answer = await site.ask_model(Last_Event_Id="2")
-            assert answer.whole
+            answer = await site.call_model(Last_Event_Id="2")
+            assert answer.is_complete
             assert answer.event_ids == [3]
 
     run(case())
@@ -133,7 +133,7 @@
         async with open_site("e1", "e2") as site:
             site.backends[0].behaviour = "mute"
             for _ in range(2):
-                check_whole(await site.ask_model(), 3)
+                check_whole(await site.call_model(), 3)
 
     run(case())
 
@@ -221,7 +221,7 @@
                     plan, serves_all_until=moment, takes_until=moment + 3.0
                 )
             )
-            answer = await site.ask_model(X_Token_Usage=f"100,{most_tokens}")
+            answer = await site.call_model(X_Token_Usage=f"100,{most_tokens}")
             assert answer.status == status
 
     run(case())
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -14,9 +14,9 @@
 from baobabthread.errors import ConfigurationError, UsageError
 from baobabthread.instance.store import Conflict, Record, StoreError, Tail, Trimmed
 from baobabthread.instance.wire import BackendCall
-from baobabthread.platform.headers import PlatformWire
+from baobabthread.platform.headers import PlatformWireFormat
 from baobabthread.platform.records import (
-    PlatformRecords,
+    PlatformRecordFormat,
     decode_backend,
     decode_configuration,
 )
@@ -118,8 +118,8 @@
 
 
 def test_decode_orders_and_status() -> None:
-    records = PlatformRecords()
-    order = records.decode_operators(
+    records = PlatformRecordFormat()
+    order = records.decode_operator_record(
         Record(
             key="rollout/s",
             value=b'{"service":"s","target":"v2","deadline_s":12}',
@@ -127,7 +127,7 @@
         )
     )
     assert order == RolloutOrder(number=8, service="s", target="v2", time_limit_s=12)
-    assert records.decode_operators(Record(key="x", value=b"?", offset=1)) is None
+    assert records.decode_operator_record(Record(key="x", value=b"?", offset=1)) is None
     status = RolloutStatus(
         service="s", target="v2", state=RolloutState.REVERTED, number=8, elapsed_s=1.5
     )
@@ -139,7 +139,7 @@
 
 
 def test_write_the_head_of_a_request() -> None:
-    head = PlatformWire().encode_request(
+    head = PlatformWireFormat().encode_request(
         "POST",
         "/a?b",
         [
@@ -175,12 +175,12 @@
     [("a:1,b:2", 2), ("", 0), ("a", 0), ("a:x", 0), (" a:1 , b:2 ", 2)],
 )
 def test_read_the_parts_of_a_prompt(value: str, count: int) -> None:
-    envelope = PlatformWire().read_envelope({"X-Prompt-Prefix": value})
+    envelope = PlatformWireFormat().decode_envelope({"X-Prompt-Prefix": value})
     assert len(envelope.prompt_parts) == count
 
 
 def test_pass_over_fields_that_cannot_be_read() -> None:
-    envelope = PlatformWire().read_envelope(
+    envelope = PlatformWireFormat().decode_envelope(
         {"X-Timeout-Ms": "soon", "X-Token-Usage": "9", "Authorization": "Basic x"}
     )
     assert envelope.time_left_s is None
@@ -201,12 +201,12 @@
         assert isinstance(tail, Tail)
         assert [(r.key, r.value) for r in tail.records][1] == ("gone", b"")
         assert (tail.next, tail.end) == (3, 3)
-        fake.first["keyed.op"] = 2
+        fake.first_offsets["keyed.op"] = 2
         assert isinstance(
             await store.read("keyed.op", 1, wait_s=0.0, timeout_s=1.0), Trimmed
         )
         status = RolloutStatus(service="s", target="v", state=RolloutState.RUNNING)
-        append = PlatformRecords().encode_status(status, 0)
+        append = PlatformRecordFormat().encode_status(status, 0)
         assert (await store.append(append, 1.0)).end == 1  # type: ignore[union-attr]
         assert isinstance(await store.append(append, 1.0), Conflict)
         store.close()
@@ -290,7 +290,7 @@
 
 
 def test_store_a_held_request_by_the_time_of_its_end() -> None:
-    formats = PlatformRecords()
+    formats = PlatformRecordFormat()
     held = Held(
         fingerprint="f1",
         service="s",
@@ -299,14 +299,14 @@
         is_cleared=True,
         versions=("v1",),
     )
-    append = formats.encode_held(held, 7, unix_now=1000.0)
+    append = formats.encode_quarantined(held, 7, unix_now=1000.0)
     assert (append.topic, append.expected_end) == ("keyed.status", 7)
     assert json.loads(append.value)["until_ms"] == 1_060_000
     record = Record(key=append.key, value=append.value, offset=7)
-    later = formats.decode_held(record, unix_now=1010.0)
+    later = formats.decode_quarantined(record, unix_now=1010.0)
     assert later == msgspec.structs.replace(held, left_s=50.0)
-    gone = formats.drop_held("f1", 8)
+    gone = formats.encode_release("f1", 8)
     assert (gone.key, gone.value) == (append.key, b"")
     for key, value in ((gone.key, b""), ("rollout/s", b"{}")):
         other = Record(key=key, value=value, offset=0)
-        assert formats.decode_held(other, unix_now=0.0) is None
+        assert formats.decode_quarantined(other, unix_now=0.0) is None
