--- a/bench/_rollout_members.py
+++ b/bench/_rollout_members.py
@@ -13,7 +13,7 @@
 from baobabthread.instance.backends import Backends
 from baobabthread.instance.clock import now
 from baobabthread.instance.conducting import Conducting
-from baobabthread.instance.flight import CallerRequest, Flight, Reply
+from baobabthread.instance.context import CallerRequest, Reply, RequestContext
 from baobabthread.instance.peers import PeerLink
 from baobabthread.instance.selection import Selection
 from baobabthread.instance.services import Services
@@ -194,11 +194,11 @@
         )
         nothing: Any = None
         self.selection = Selection(
-            knowledge=knowledge,
+            replica=knowledge,
             backends=backends,
             estimates=nothing,
             placement=nothing,
-            off=frozenset(),
+            disabled=frozenset(),
         )
         self._tasks = [
             asyncio.ensure_future(self._read()),
@@ -252,13 +252,15 @@
         plan = self.plan
         flight = make_flight(sent.session)
         if plan.is_contested(sent.session, now()):
-            flight.session_on_new = await self.peers.desk.decide(plan, sent.session)
+            flight.session_on_new_version = await self.peers.desk.decide(
+                plan, sent.session
+            )
         for _ in range(attempts):
             version = self._find_version(flight)
             sent.reason = str(flight.version_reason)
             self.world.watcher.note_sent(sent, version, self.world.elapsed_s)
-            flight.note_sent()
-            on_old = not flight.on_new
+            flight.record_sent()
+            on_old = not flight.on_new_version
             if on_old:
                 plan.started_old(flight.session, now())
             self._note_use(flight)
@@ -270,23 +272,27 @@
             sent.ended_s = self.world.elapsed_s
         flight.release_exposure()
 
-    def _find_version(self, flight: Flight) -> str:
+    def _find_version(self, flight: RequestContext) -> str:
         version = self.selection.choose_version(flight, self.plan)
         if version:
             return version
         listed = self.world.list_versions()
         return OLD if OLD in listed else NEW
 
-    def _note_use(self, flight: Flight) -> None:
-        note = self.peers.desk.note_new if flight.on_new else self.peers.desk.note_use
+    def _note_use(self, flight: RequestContext) -> None:
+        note = (
+            self.peers.desk.note_new
+            if flight.on_new_version
+            else self.peers.desk.note_use
+        )
         note(self.plan, flight.session)
 
-    def _judge(self, flight: Flight, version: str) -> None:
+    def _judge(self, flight: RequestContext, version: str) -> None:
         plan = self.plan
         failed = version == NEW and self.world.watcher.fails(self.world.elapsed_s)
         if plan.is_running:
             plan.trial.observe(
-                on_trial=bool(flight.on_new),
+                on_trial=bool(flight.on_new_version),
                 call="c",
                 kind="c",
                 failed=failed,
@@ -308,7 +314,7 @@
 )
 
 
-def make_flight(session: str) -> Flight:
+def make_flight(session: str) -> RequestContext:
     """Return a request of a session."""
     request = CallerRequest(
         method="POST",
@@ -319,7 +325,7 @@
         envelope=Envelope(request_id="r", session=session),
         arrived_at=now(),
     )
-    return Flight(
+    return RequestContext(
         request=request,
         reply=cast(Reply, None),
         route=ROUTE,
--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -56,7 +56,7 @@
         # One instance tells of all its own requests on the server in one message.
         own = there[place :: len(members)]
         if own:
-            member.link.quarantine.report(_make_crash(number, own))
+            member.link.quarantine.report_crash(_make_crash(number, own))
 
 
 def _make_crash(number: int, fresh: list[str]) -> Crash:
--- a/soak/weakened.py
+++ b/soak/weakened.py
@@ -65,7 +65,7 @@
     """Promise that a request has not run though it may have."""
     ask = endings.Endings._surely_not_run
 
-    def surely_not_run(self: endings.Endings, flight: flight.Flight) -> bool:
+    def surely_not_run(self: endings.Endings, flight: flight.RequestContext) -> bool:
         return not safeguard.stands(not ask(self, flight))
 
     endings.Endings._surely_not_run = surely_not_run  # type: ignore
@@ -111,16 +111,16 @@
 @WEAKENED.register("take any answer")
 def take_any_answer(safeguard: Safeguard) -> None:
     """Take a success without a signature, or of another request, for the answer."""
-    ask = attempts.Attempt._check
+    ask = attempts.Attempt._validate
 
     def check(self: attempts.Attempt, marks: ResponseMetadata, status: int) -> None:
         try:
             ask(self, marks, status)
-        except connections.BrokenError:
+        except connections.IncompleteResponseError:
             if safeguard.stands(True):
                 raise
 
-    attempts.Attempt._check = check  # type: ignore
+    attempts.Attempt._validate = check  # type: ignore
 
 
 @WEAKENED.register("pass the key on")
@@ -143,13 +143,13 @@
 @WEAKENED.register("forget crashes")
 def forget_crashes(safeguard: Safeguard) -> None:
     """Take each try of a request that crashed servers for a new one."""
-    tell = crashes.CrashWatch._tell
+    tell = crashes.CrashDetector._report_termination
 
-    def tell_nobody(self: crashes.CrashWatch, server: Any) -> None:
+    def tell_nobody(self: crashes.CrashDetector, server: Any) -> None:
         if safeguard.stands(True):
             tell(self, server)
 
-    crashes.CrashWatch._tell = tell_nobody  # type: ignore
+    crashes.CrashDetector._report_termination = tell_nobody  # type: ignore
 
 
 @WEAKENED.register("forget evacuations")
--- a/src/baobabthread/instance/attempts.py
+++ b/src/baobabthread/instance/attempts.py
@@ -12,31 +12,31 @@
 from baobabthread.instance.backends import BackendLink
 from baobabthread.instance.clock import now
 from baobabthread.instance.connections import (
-    BrokenError,
     Connection,
+    IncompleteResponseError,
     NotSentError,
     Response,
 )
-from baobabthread.instance.flight import Flight
+from baobabthread.instance.context import RequestContext
 from baobabthread.instance.wire import BackendCall, ResponseMetadata, WireFormat
 
-PLAIN_PATIENCE_S = 0.4
+PLAIN_SILENCE_TIMEOUT_S = 0.4
 """Silence after which an attempt at a plain service that may be repeated is given up:
 several times what its work usually takes."""
-ENGINE_PATIENCE_S = 1.0
+ENGINE_SILENCE_TIMEOUT_S = 1.0
 """The same for the first part of an engine's answer, which waits for prompts to be
 read; a dark engine found after it still lets the answer come in time."""
-LOST_EVENTS_S = 1.6
+LOST_EVENTS_TIMEOUT_S = 1.6
 """Silence within a stream after which it counts as lost though its engine goes on with
 others; one that was put back for lack of memory is read in again sooner."""
-PATIENCE_FACTOR = 5.0
+SILENCE_TIMEOUT_FACTOR = 5.0
 """Times the usual time to the first part that is waited for it."""
-MAX_PATIENCE_S = 3.0
+MAX_SILENCE_TIMEOUT_S = 3.0
 
 T = TypeVar("T")
 
 
-class RefusedError(Exception):
+class RejectedError(Exception):
     """Report that a backend server states that it did not run the request."""
 
     def __init__(self, status: int, *, is_other_server: bool) -> None:
@@ -45,14 +45,14 @@
         self.is_other_server = is_other_server
 
 
-class SilentError(BrokenError):
+class SilenceTimeoutError(IncompleteResponseError):
     """Report an attempt that was given up; the request may have run.
 
     It is only given up for another one, which is already taken out of the budget.
     """
 
 
-class Again(Exception):  # noqa: N818 - a step, not an error
+class RetryRequested(Exception):  # noqa: N818 - a step, not an error
     """Go on with another attempt.
 
     `outcome` is what the attempt that ended says about its backend server.
@@ -63,7 +63,7 @@
         self.outcome = outcome
 
 
-class Head(msgspec.Struct, frozen=True, kw_only=True):
+class ResponseHead(msgspec.Struct, frozen=True, kw_only=True):
     """Hold the head of an answer that belongs to this request."""
 
     response: Response
@@ -91,49 +91,53 @@
 
     __slots__ = (
         "_connection",
-        "_event_patience_s",
+        "_event_timeout_s",
         "_may_give_up",
         "_response",
-        "flight",
+        "context",
         "link",
-        "patience_s",
+        "silence_timeout_s",
         "sent_at",
     )
 
     def __init__(
         self,
         *,
-        flight: Flight,
+        context: RequestContext,
         link: BackendLink,
         usual_first_s: float,
-        event_patience_s: float,
+        event_timeout_s: float,
         may_give_up: Callable[[], bool],
     ) -> None:
         self._may_give_up = may_give_up
-        self._event_patience_s = event_patience_s
-        self.flight = flight
+        self._event_timeout_s = event_timeout_s
+        self.context = context
         self.link = link
         self.sent_at = now()
-        least = ENGINE_PATIENCE_S if flight.route.is_stream else PLAIN_PATIENCE_S
-        self.patience_s = min(
-            MAX_PATIENCE_S, max(least, PATIENCE_FACTOR * usual_first_s)
+        least = (
+            ENGINE_SILENCE_TIMEOUT_S
+            if context.route.is_stream
+            else PLAIN_SILENCE_TIMEOUT_S
+        )
+        self.silence_timeout_s = min(
+            MAX_SILENCE_TIMEOUT_S, max(least, SILENCE_TIMEOUT_FACTOR * usual_first_s)
         )
         self._connection: Connection | None = None
         self._response: Response | None = None
 
-    async def open(self, wire: WireFormat) -> Head:
+    async def open(self, wire: WireFormat) -> ResponseHead:
         """Send the request and return the head of its answer.
 
         Raises `NotSentError` and `RefusedError` where it surely didn't run, otherwise
         `BrokenError`, or `TimeoutError` at the deadline.
         """
-        flight = self.flight
+        flight = self.context
         request = flight.request
         call = BackendCall(
             backend=self.link.record.id,
             time_left_s=flight.deadline - now(),
             account=flight.account.name if flight.account is not None else None,
-            priority=flight.rank,
+            priority=flight.priority,
             model=flight.model_name,
             last_event=flight.last_event,
         )
@@ -143,32 +147,34 @@
         try:
             self._connection = await self.link.pool.send(head, request.body)
         except NotSentError:
-            self.link.suspect()
+            self.link.mark_suspect()
             raise
         self.sent_at = now()
-        flight.note_sent()
-        response = await self._watch(self.link.pool.receive(self._connection))
-        self._check_open()
+        flight.record_sent()
+        response = await self._wait_for(self.link.pool.receive(self._connection))
+        self._ensure_open()
         self._response = response
         marks = wire.decode_response(response.status, response.headers)
-        self._check(marks, response.status)
-        self.link.note_answer(self.sent_at)
+        self._validate(marks, response.status)
+        self.link.record_response(self.sent_at)
         if flight.route.is_stream:
-            self.patience_s = self._event_patience_s
-        return Head(response=response, marks=marks, latency_s=now() - self.sent_at)
+            self.silence_timeout_s = self._event_timeout_s
+        return ResponseHead(
+            response=response, marks=marks, latency_s=now() - self.sent_at
+        )
 
-    async def read_some(self) -> bytes:
+    async def read_chunk(self) -> bytes:
         """Return the next bytes of the body; none at its end."""
         assert self._response is not None
-        chunk = await self._watch(self._response.read_some())
-        self._check_open()
+        chunk = await self._wait_for(self._response.read_chunk())
+        self._ensure_open()
         return chunk
 
-    async def read_whole(self, limit: int) -> bytes:
+    async def read_body(self, limit: int) -> bytes:
         """Return the whole body and give the connection back."""
         assert self._response is not None
-        body = await self._watch(self._response.read(limit))
-        self._check_open()
+        body = await self._wait_for(self._response.read(limit))
+        self._ensure_open()
         self.finish()
         return body
 
@@ -184,30 +190,32 @@
             self.link.pool.discard(self._connection)
             self._connection = None
 
-    def _check_open(self) -> None:
+    def _ensure_open(self) -> None:
         # An answer without a length ends with its connection: what had come when this
         # side closed it would pass for the whole.
         if self._connection is None:
-            raise BrokenError("cancelled on this side")
+            raise IncompleteResponseError("cancelled on this side")
 
-    def _check(self, marks: ResponseMetadata, status: int) -> None:
-        own_id = self.flight.request.envelope.request_id
+    def _validate(self, marks: ResponseMetadata, status: int) -> None:
+        own_id = self.context.request.envelope.request_id
         if marks.request_id is not None and marks.request_id != own_id:
             # A second or late answer to somebody else's request.
-            raise BrokenError("answer to another request")
+            raise IncompleteResponseError("answer to another request")
         if marks.cold_left_s > 0.0 and not marks.is_other_server:
-            self.link.note_cold(marks.cold_left_s)
+            self.link.record_cold(marks.cold_left_s)
         if marks.not_run:
-            self.flight.runs -= 1
+            self.context.runs -= 1
             if marks.is_other_server:
-                self.link.note_gone()
-            raise RefusedError(status, is_other_server=marks.is_other_server)
+                self.link.mark_replaced()
+            raise RejectedError(status, is_other_server=marks.is_other_server)
         if marks.encoded:
-            raise BrokenError("answer with an encoding that nobody asked for")
+            raise IncompleteResponseError(
+                "answer with an encoding that nobody asked for"
+            )
         if 200 <= status < 300 and not (marks.signed and marks.request_id):
-            raise BrokenError("success without a signature")
+            raise IncompleteResponseError("success without a signature")
 
-    async def _watch(self, work: Coroutine[Any, Any, T]) -> T:
+    async def _wait_for(self, work: Coroutine[Any, Any, T]) -> T:
         """Wait for a part of the answer until the deadline.
 
         A backend server that gave no sign of life for a while, on any connection, is
@@ -217,43 +225,43 @@
         try:
             began = now()
             while True:
-                left = self.flight.deadline - now()
+                left = self.context.deadline - now()
                 if left <= 0.0:
                     raise TimeoutError
-                await asyncio.wait({task}, timeout=min(left, self._next_look()))
+                await asyncio.wait({task}, timeout=min(left, self._poll_interval_s()))
                 if task.done():
                     return task.result()
-                reason = self._find_reason(began)
+                reason = self._find_silence(began)
                 if reason is not None and self._may_give_up():
-                    raise SilentError(reason)
+                    raise SilenceTimeoutError(reason)
         finally:
             if not task.done():
                 task.cancel()
 
-    def _find_reason(self, began: float) -> str | None:
+    def _find_silence(self, began: float) -> str | None:
         """Return why the answer will hardly come, or nothing."""
         moment = now()
-        if moment - max(began, self.link.heard_at) >= self.patience_s:
-            self.link.suspect()
+        if moment - max(began, self.link.received_at) >= self.silence_timeout_s:
+            self.link.mark_suspect()
             return "no sign of life"
         waited_s = moment - began
         if self._response is not None:
-            return "events lost" if waited_s >= LOST_EVENTS_S else None
+            return "events lost" if waited_s >= LOST_EVENTS_TIMEOUT_S else None
         # An engine under load lets everybody wait; one whose later requests are
         # answered has lost this one's answer.
-        if waited_s >= self.patience_s and self.link.was_overtaken(self.sent_at):
+        if waited_s >= self.silence_timeout_s and self.link.was_overtaken(self.sent_at):
             return "answer lost"
         return None
 
-    def _next_look(self) -> float:
-        return self.patience_s / 2
+    def _poll_interval_s(self) -> float:
+        return self.silence_timeout_s / 2
 
 
-def judge(error: BaseException | None) -> Outcome:
+def classify_outcome(error: BaseException | None) -> Outcome:
     """Return what an attempt's end says about its backend server."""
     if error is None:
         return Outcome.OK
-    if isinstance(error, RefusedError):
+    if isinstance(error, RejectedError):
         return Outcome.BUSY
     if isinstance(error, asyncio.CancelledError | TimeoutError):
         # Whoever runs out of time may have queued behind others: servers that were
--- a/src/baobabthread/instance/backends.py
+++ b/src/baobabthread/instance/backends.py
@@ -31,19 +31,19 @@
 from baobabthread.routing.homes import Homes
 from baobabthread.routing.knowledge import Knowledge
 
-CONNECT_S = 0.4
+CONNECT_TIMEOUT_S = 0.4
 """Longest time for a connection: a few milliseconds are usual, and a lost first packet
 is sent again after a second, which another backend server can do without."""
-OVERTAKERS = 4
+OVERTAKING_RESPONSES = 4
 """Answers to later requests after which an earlier one's answer counts as lost."""
-SUSPECT_S = 2.0
+SUSPECT_DURATION_S = 2.0
 """Time for which a backend server that gave no sign of life gets no new work while
 others have room."""
-GONE_S = 6.0
+REPLACED_DURATION_S = 6.0
 """Time for which a server whose address another one has gets no work: its record lapses
 after three heartbeats, some four seconds, and the list of them is read within two."""
 BALANCER = earliest.NAME
-NEVER_SLOW = 1e6
+NO_SLOWNESS_EJECTION = 1e6
 """Slowness never ejects a server: under load the time of an answer says more of those
 before it than of the server, and ejecting the busy ones loads the others more. The
 balancer sends a slow one less."""
@@ -54,27 +54,29 @@
 
     __slots__ = (
         "_answered",
-        "heard_at",
+        "received_at",
         "is_replaced",
-        "note_cold",
+        "record_cold",
         "pool",
         "record",
         "suspect_until",
     )
 
     def __init__(
-        self, *, record: BackendRecord, note_cold: Callable[[float], object]
+        self, *, record: BackendRecord, record_cold: Callable[[float], object]
     ) -> None:
         self.record = record
-        self.note_cold = note_cold
+        self.record_cold = record_cold
         """Take in a word of it that it is cold for so many seconds."""
-        self.heard_at = -1e9
+        self.received_at = -1e9
         self.suspect_until = -1e9
         self.is_replaced = False
         """Whether another server was met at its address."""
-        self._answered: deque[float] = deque(maxlen=OVERTAKERS)
+        self._answered_sent_at: deque[float] = deque(maxlen=OVERTAKING_RESPONSES)
         self.pool = ConnectionPool(
-            address=record.address, connect_s=CONNECT_S, on_bytes=self._note_bytes
+            address=record.address,
+            connect_s=CONNECT_TIMEOUT_S,
+            on_bytes=self._record_bytes,
         )
 
     @property
@@ -82,11 +84,11 @@
         """Give the name of this start of it."""
         return self.record.incarnation
 
-    def suspect(self) -> None:
+    def mark_suspect(self) -> None:
         """Note that it gave no sign of life when it should have."""
-        self.suspect_until = now() + SUSPECT_S
+        self.suspect_until = now() + SUSPECT_DURATION_S
 
-    def note_gone(self) -> None:
+    def mark_replaced(self) -> None:
         """Note that another server answers at its address.
 
         A late record of a server that crashed names it as ready though its address
@@ -94,70 +96,71 @@
         repeat out of the budget until the record lapses.
         """
         self.is_replaced = True
-        self.suspect_until = now() + GONE_S
+        self.suspect_until = now() + REPLACED_DURATION_S
 
-    def note_answer(self, sent_at: float) -> None:
+    def record_response(self, sent_at: float) -> None:
         """Note that a request that was sent then is answered."""
-        self._answered.append(sent_at)
+        self._answered_sent_at.append(sent_at)
 
     def was_overtaken(self, sent_at: float) -> bool:
         """Tell whether only requests that were sent later were answered of late."""
-        answered = self._answered
-        return len(answered) == OVERTAKERS and min(answered) > sent_at
+        answered = self._answered_sent_at
+        return len(answered) == OVERTAKING_RESPONSES and min(answered) > sent_at
 
-    def _note_bytes(self) -> None:
-        self.heard_at = now()
+    def _record_bytes(self) -> None:
+        self.received_at = now()
         self.suspect_until = -1e9
 
 
 class Backends:
     """Choose among the backend servers that are known and reach them."""
 
-    __slots__ = ("_knowledge", "_links", "_restrictions", "_seen", "table")
+    __slots__ = ("_replica", "_links", "_restrictions", "_applied_changes", "table")
 
     def __init__(
         self,
         *,
-        knowledge: Knowledge,
+        replica: Knowledge,
         restrictions: Restrictions,
         failure_domain: str,
         rng: random.Random,
     ) -> None:
-        self._knowledge = knowledge
+        self._replica = replica
         self._restrictions = restrictions
         self._links: dict[str, BackendLink] = {}
-        self._seen = -1
+        self._applied_changes = -1
         self.table = BackendTable(
             failure_domain=failure_domain,
             rng=rng,
-            settings=BalanceSettings(eject_slowness=NEVER_SLOW),
+            settings=BalanceSettings(eject_slowness=NO_SLOWNESS_EJECTION),
         )
 
     def refresh(self) -> None:
         """Take over the records that changed."""
         for name in self._restrictions.drop_warm(now()):
             self.table.begin_slowly(name, now())
-        if self._seen == self._knowledge.changes:
+        if self._applied_changes == self._replica.changes:
             return
-        self._seen = self._knowledge.changes
+        self._applied_changes = self._replica.changes
         self._restrictions.refresh(now())
         # By incarnation: connections, load, delays and ejection belong to one start.
-        records = {r.incarnation: r for r in self._knowledge.backends.values()}
+        records = {r.incarnation: r for r in self._replica.backends.values()}
         for name in [name for name in self._links if name not in records]:
             self._links.pop(name).pool.close()
         for name, record in records.items():
             link = self._links.get(name)
             if link is None:
                 self._links[name] = BackendLink(
-                    record=record, note_cold=functools.partial(self._note_cold, record)
+                    record=record,
+                    record_cold=functools.partial(self._record_cold, record),
                 )
             else:
                 link.record = record
         usable = {n: r for n, r in records.items() if self._is_usable(r)}
-        self.table.rebuild(_translate(usable), now())
+        self.table.rebuild(_build_balancer_configuration(usable), now())
 
-    def _note_cold(self, record: BackendRecord, left_s: float) -> None:
-        if self._knowledge.note_cold(record, left_s, now()):
+    def _record_cold(self, record: BackendRecord, left_s: float) -> None:
+        if self._replica.note_cold(record, left_s, now()):
             log_event("backend_cold", backend=record.id, left_s=round(left_s, 3))
             # Failure: until the next tick it would get all that comes in a tenth of a
             # second, more than a cold server bears in a whole one.
@@ -176,7 +179,7 @@
         version: str | None,
         prefix_key: int | None,
         exclude: Container[str],
-        homes: Homes,
+        allowed_regions: Homes,
         may_probe: bool,
         shared_s: float,
         shared_tokens: int,
@@ -188,9 +191,9 @@
         suspects = {
             name for name, link in self._links.items() if moment < link.suspect_until
         }
-        barred = self._restrictions.list_barred(homes, moment)
-        never = _Either(exclude, barred) if barred else exclude
-        for out in (_Either(never, suspects), never):
+        barred = self._restrictions.list_restricted(allowed_regions, moment)
+        never = _Union(exclude, barred) if barred else exclude
+        for out in (_Union(never, suspects), never):
             name = self.table.pick(
                 service=service,
                 version=version,
@@ -215,22 +218,22 @@
         version: str | None,
         prefix_key: int | None,
         exclude: Container[str],
-        homes: Homes,
+        allowed_regions: Homes,
     ) -> list[str]:
         """Return the backend servers whose load is worth asking for."""
         moment = now()
-        barred = self._restrictions.list_barred(homes, moment)
+        barred = self._restrictions.list_restricted(allowed_regions, moment)
         return self.table.list_candidates(
             service=service,
             version=version,
             prefix_key=prefix_key,
-            exclude=_Either(exclude, barred) if barred else exclude,
+            exclude=_Union(exclude, barred) if barred else exclude,
             now=moment,
         )
 
-    def explain_none(self, service: str, homes: Homes) -> str:
+    def explain_unavailable(self, service: str, allowed_regions: Homes) -> str:
         """Return why no backend server is left for a request."""
-        return self._restrictions.explain(service, homes)
+        return self._restrictions.explain_unavailable(service, allowed_regions)
 
     def versions(self, service: str) -> dict[str, int]:
         """Return how many backend servers of a service run each version."""
@@ -248,18 +251,18 @@
         self, service: str, counts: Callable[[BackendRecord], bool]
     ) -> dict[str, int]:
         found: dict[str, int] = {}
-        for record in self._knowledge.backends.values():
+        for record in self._replica.backends.values():
             if record.service == service and counts(record):
                 found[record.version] = found.get(record.version, 0) + 1
         return found
 
-    def list_sidelined(
+    def list_non_canaries(
         self, service: str, version: str, canaries: int
     ) -> frozenset[str]:
         """Return the usable servers of a version but for so many, the same anywhere."""
         names = [
             record.incarnation
-            for record in self._knowledge.backends.values()
+            for record in self._replica.backends.values()
             if record.service == service
             and record.version == version
             and self._is_usable(record)
@@ -274,10 +277,12 @@
         """Return how many requests the usable servers of a service run at once."""
         return self.table.capacity(service, None, now())
 
-    def occupy(self, link: BackendLink, *, work: int, first_s: float) -> Occupancy:
+    def occupy(self, link: BackendLink, *, work_ms: int, first_s: float) -> Occupancy:
         """Count an attempt that starts; its first part takes so long by itself."""
-        self._restrictions.note_sent(link.name, now())
-        return Occupancy(table=self.table, name=link.name, work=work, first_s=first_s)
+        self._restrictions.record_sent(link.name, now())
+        return Occupancy(
+            table=self.table, name=link.name, work=work_ms, first_s=first_s
+        )
 
     def prune(self) -> None:
         """Close connections that were idle for too long."""
@@ -313,20 +318,20 @@
     def begin(self, latency_s: float) -> None:
         """Note that the first part came after so long."""
         delay_s = latency_s - self._first_s if self._first_s else None
-        self._take_back(delay_s)
+        self._record_begin(delay_s)
 
     def end(self, outcome: Outcome, latency_s: float) -> None:
         """Note how the attempt ended, and learn from it."""
         if not self._has_begun:
-            self._take_back(None)
+            self._record_begin(None)
         self._table.finished(self._name, outcome, latency_s, self._work, now())
 
-    def _take_back(self, delay_s: float | None) -> None:
+    def _record_begin(self, delay_s: float | None) -> None:
         self._has_begun = True
         self._table.began(self._name, self._first_s, now(), delay_s=delay_s)
 
 
-class _Either:
+class _Union:
     __slots__ = ("_one", "_other")
 
     def __init__(self, one: Container[str], other: Container[str]) -> None:
@@ -342,7 +347,7 @@
     return xxhash.xxh3_64_intdigest(part.encode(errors="surrogatepass"))
 
 
-def _translate(records: dict[str, BackendRecord]) -> Configuration:
+def _build_balancer_configuration(records: dict[str, BackendRecord]) -> Configuration:
     return msgspec.structs.replace(
         EMPTY,
         services={
--- a/src/baobabthread/instance/front.py
+++ b/src/baobabthread/instance/callers.py
@@ -14,17 +14,17 @@
 from multidict import CIMultiDict
 
 from baobabthread.instance.clock import now
-from baobabthread.instance.flight import CallerRequest, Reply
+from baobabthread.instance.context import CallerRequest, Reply
 from baobabthread.instance.wire import WireFormat
 from baobabthread.logs import log_event
 
-MAX_LINE_BYTES = 65_536
-KEEP_ALIVE_S = 75.0
+MAX_FIELD_BYTES = 65_536
+KEEP_ALIVE_TIMEOUT_S = 75.0
 """How long an idle connection of a caller is kept: longer than operators let callers
 keep one, so that it is always the caller who ends it."""
-LINGER_S = 1.0
+LINGER_TIMEOUT_S = 1.0
 
-Handle = Callable[[CallerRequest, Reply], Awaitable[None]]
+HandleRequest = Callable[[CallerRequest, Reply], Awaitable[None]]
 
 
 class HttpReply:
@@ -44,7 +44,7 @@
         """Tell whether the caller has the head of an answer."""
         return self.response is not None and self.response.prepared
 
-    async def refuse(
+    async def reject(
         self,
         status: int,
         kind: str,
@@ -58,20 +58,20 @@
         fields = {"kind": kind} | ({"detail": detail} if detail else {})
         body = msgspec.json.encode(fields)
         self.response = web.Response(status=status, headers=headers, body=body)
-        self._mark_leaving(self.response)
+        self._close_if_leaving(self.response)
 
-    async def answer(
+    async def respond(
         self, status: int, headers: Sequence[tuple[str, str]], body: bytes
     ) -> None:
         """Make a whole answer."""
         response = web.Response(status=status, headers=CIMultiDict(headers), body=body)
-        self._mark_leaving(response)
+        self._close_if_leaving(response)
         self.response = response
 
     async def begin(self, status: int, headers: Sequence[tuple[str, str]]) -> None:
         """Pass on the head of a stream."""
         response = web.StreamResponse(status=status, headers=CIMultiDict(headers))
-        self._mark_leaving(response)
+        self._close_if_leaving(response)
         self.response = response
         await response.prepare(self._request)
 
@@ -91,22 +91,22 @@
         if transport is not None:
             transport.abort()
 
-    def _mark_leaving(self, response: web.StreamResponse) -> None:
+    def _close_if_leaving(self, response: web.StreamResponse) -> None:
         # A caller that keeps its connection to an instance that stops would lose the
         # request that it sends just before the end.
         if self._is_leaving():
             response.force_close()
 
 
-class Front:
+class CallerServer:
     """Turn HTTP requests into requests that can be decided on."""
 
-    __slots__ = ("_handle", "_is_leaving", "_limit", "_wire")
+    __slots__ = ("_handle", "_is_leaving", "_body_limit", "_wire")
 
     def __init__(
         self,
         *,
-        handle: Handle,
+        handle: HandleRequest,
         wire: WireFormat,
         is_leaving: Callable[[], bool],
         body_limit: Callable[[], int],
@@ -114,7 +114,7 @@
         self._handle = handle
         self._wire = wire
         self._is_leaving = is_leaving
-        self._limit = body_limit
+        self._body_limit = body_limit
 
     async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer one HTTP request."""
@@ -141,7 +141,7 @@
     async def _read_body(
         self, request: web.BaseRequest, reply: HttpReply
     ) -> bytes | None:
-        limit = self._limit()
+        limit = self._body_limit()
         chunks = []
         size = 0
         try:
@@ -149,20 +149,20 @@
                 chunks.append(chunk)
                 size += len(chunk)
                 if size > limit:
-                    await reply.refuse(413, "too_large", None)
+                    await reply.reject(413, "too_large", None)
                     assert reply.response is not None
                     reply.response.force_close()
                     return None
         except web.RequestPayloadError as error:
             log_event("body_unreadable", error=str(error))
-            await reply.refuse(400, "bad_request", None)
+            await reply.reject(400, "bad_request", None)
             assert reply.response is not None
             reply.response.force_close()
             return None
         return b"".join(chunks)
 
 
-def make_server(
+def create_server(
     serve: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]],
 ) -> web.Server:
     """Return a server that stops handling a request when its caller leaves."""
@@ -182,10 +182,10 @@
         request_factory=make_request,
         handler_cancellation=True,
         access_log=None,
-        keepalive_timeout=KEEP_ALIVE_S,
-        lingering_time=LINGER_S,
-        max_line_size=MAX_LINE_BYTES,
-        max_field_size=MAX_LINE_BYTES,
+        keepalive_timeout=KEEP_ALIVE_TIMEOUT_S,
+        lingering_time=LINGER_TIMEOUT_S,
+        max_line_size=MAX_FIELD_BYTES,
+        max_field_size=MAX_FIELD_BYTES,
         auto_decompress=False,
     )
 
--- a/src/baobabthread/instance/connections.py
+++ b/src/baobabthread/instance/connections.py
@@ -19,13 +19,13 @@
 
 from baobabthread.instance.clock import now
 
-MAX_HEAD_BYTES = 32_768
+MAX_FIELD_BYTES = 32_768
 """Most bytes of one header field of an answer."""
 READ_BUFFER_BYTES = 65_536
 """Answer bytes that wait in memory before the sender is slowed down."""
-IDLE_S = 30.0
+IDLE_TIMEOUT_S = 30.0
 """How long a connection is kept idle where the other side names no time."""
-LOOK_IDLE_S = 1.0
+PROBE_IDLE_TIMEOUT_S = 1.0
 """How long a connection that was only made to look is kept for a request."""
 IDLE_MARGIN_S = 0.75
 """How long before the other side's idle time-out a connection is given up: a request
@@ -39,11 +39,11 @@
     """Report a request of which no byte left for the other side."""
 
 
-class BrokenError(Exception):
+class IncompleteResponseError(Exception):
     """Report an answer that will not come whole; the request may have run."""
 
 
-class LostConnectionError(BrokenError):
+class ConnectionLostError(IncompleteResponseError):
     """Report an answer whose connection ended before it: the other side may be gone."""
 
 
@@ -64,7 +64,7 @@
         self._on_bytes = on_bytes
         self.was_reset = False
         self.idle_until = 0.0
-        self.used = 0
+        self.request_count = 0
 
     def data_received(self, data: bytes) -> None:
         """Feed the parser and note the sign of life."""
@@ -124,28 +124,28 @@
         """
         chunks = []
         size = 0
-        while chunk := await self.read_some():
+        while chunk := await self.read_chunk():
             chunks.append(chunk)
             size += len(chunk)
             if size > limit:
-                raise BrokenError("answer too large")
+                raise IncompleteResponseError("answer too large")
         return b"".join(chunks)
 
-    async def read_some(self) -> bytes:
+    async def read_chunk(self) -> bytes:
         """Return the next bytes of the body; none at its end."""
         try:
             chunk = await self._payload.readany()
         except (aiohttp.ClientError, HttpProcessingError, OSError) as error:
-            raise LostConnectionError(f"answer broke off: {error}") from error
+            raise ConnectionLostError(f"answer broke off: {error}") from error
         if not chunk and self._connection.was_reset:
-            raise LostConnectionError("answer without a length was reset")
+            raise ConnectionLostError("answer without a length was reset")
         return chunk
 
     def finish(self) -> None:
         """Give the connection back after the whole body was read."""
         stated = _KEEP_ALIVE.search(self.headers.get("Keep-Alive", ""))
         self._pool.release(
-            self._connection, float(stated.group(1)) if stated else IDLE_S
+            self._connection, float(stated.group(1)) if stated else IDLE_TIMEOUT_S
         )
 
     def abort(self) -> None:
@@ -186,13 +186,13 @@
         if transport is None or transport.is_closing():
             self.discard(connection)
             raise NotSentError("connection closed before the request was sent")
-        connection.used += 1
+        connection.request_count += 1
         connection.set_response_params(
             read_until_eof=True,
             auto_decompress=False,
             read_bufsize=READ_BUFFER_BYTES,
-            max_line_size=MAX_HEAD_BYTES,
-            max_field_size=MAX_HEAD_BYTES,
+            max_line_size=MAX_FIELD_BYTES,
+            max_field_size=MAX_FIELD_BYTES,
         )
         transport.write(head + body)
         return connection
@@ -206,21 +206,21 @@
             message, payload = await connection.read()
         except (aiohttp.ClientError, HttpProcessingError, OSError) as error:
             self.discard(connection)
-            raise LostConnectionError(
+            raise ConnectionLostError(
                 f"no answer: {error or type(error).__name__}"
             ) from error
         return Response(
             message=message, payload=payload, connection=connection, pool=self
         )
 
-    async def look(self) -> Listening:
+    async def probe(self) -> Listening:
         """Find out whether anybody takes connections; keep one that was made."""
         try:
             connection = await self._connect()
         except NotSentError as error:
             is_refused = isinstance(error.__cause__, ConnectionRefusedError)
             return Listening.NO if is_refused else Listening.UNKNOWN
-        connection.idle_until = now() + LOOK_IDLE_S
+        connection.idle_until = now() + PROBE_IDLE_TIMEOUT_S
         self._idle.append(connection)
         return Listening.YES
 
--- a/src/baobabthread/instance/flight.py
+++ b/src/baobabthread/instance/context.py
@@ -23,7 +23,7 @@
     def has_begun(self) -> bool:
         """Tell whether the caller has the head of an answer."""
 
-    async def refuse(
+    async def reject(
         self,
         status: int,
         kind: str,
@@ -32,7 +32,7 @@
     ) -> None:
         """End with an answer of this side's own."""
 
-    async def answer(
+    async def respond(
         self, status: int, headers: Sequence[tuple[str, str]], body: bytes
     ) -> None:
         """Pass on a whole answer."""
@@ -68,7 +68,7 @@
         return self.target.partition("?")[0]
 
 
-class TakenAtStop(msgspec.Struct, frozen=True, kw_only=True):
+class AdmittedAtStop(msgspec.Struct, frozen=True, kw_only=True):
     """Hold why a request was taken by an instance that was told to stop."""
 
     until_end_ms: int
@@ -78,7 +78,7 @@
     """Time that it was expected to take at most."""
 
 
-class Flight:
+class RequestContext:
     """Hold what was decided about a request so far."""
 
     __slots__ = (
@@ -89,17 +89,17 @@
         "deadline",
         "excluded",
         "exposure",
-        "first_s",
-        "holds_exposure",
-        "homes",
+        "head_s",
+        "has_reserved_exposure",
+        "allowed_regions",
         "is_counted",
-        "is_free",
-        "is_on_trial",
-        "is_spread",
+        "is_sessionless",
+        "is_canary",
+        "may_use_non_canaries",
         "kept_tokens",
         "last_event",
-        "lost",
-        "may_use_new",
+        "lost_connections",
+        "may_use_new_version",
         "model",
         "on_new",
         "reason",
@@ -109,14 +109,14 @@
         "runs",
         "service",
         "session",
-        "session_on_new",
+        "session_on_new_version",
         "sidelined",
         "started_at",
         "taken_at_stop",
         "trail",
         "version",
         "version_reason",
-        "work",
+        "work_ms",
     )
 
     def __init__(
@@ -135,30 +135,30 @@
         self.account = account
         self.service = service
         self.deadline = deadline
-        self.homes = find_homes(route, account)
+        self.allowed_regions = find_homes(route, account)
         """Areas that it must not leave; None where any will do."""
         self.session = request.envelope.session or request.envelope.request_id
-        self.is_free = request.envelope.session is None
+        self.is_sessionless = request.envelope.session is None
         """Whether it belongs to no session, so that any version may answer it."""
         self.started_at = request.arrived_at
         self.attempts = 0
         """Backend servers that it was offered to."""
         self.runs = 0
         """Attempts of which it isn't known that they did not run."""
-        self.lost = 0
+        self.lost_connections = 0
         """Attempts whose connection ended before the answer."""
         self.excluded: set[str] = set()
-        self.is_on_trial = False
+        self.is_canary = False
         """Whether the attempt goes to a version on trial."""
-        self.sidelined: frozenset[str] = frozenset()
+        self.non_canaries: frozenset[str] = frozenset()
         """Backend servers of a version on trial that take no part in it."""
         self.model: int | None = None
         """Index of the model to ask; None where the caller or nobody chooses."""
-        self.on_new: bool | None = None
+        self.on_new_version: bool | None = None
         """Whether it goes to the new version of a roll-out."""
         self.exposure: ExposureBudget | None = None
         """What its service's version on trial may get."""
-        self.holds_exposure = False
+        self.has_reserved_exposure = False
         """Whether an attempt at that version is taken out of it and not sent yet."""
         self.is_counted = False
         """Whether it reached a backend server of its service."""
@@ -167,32 +167,32 @@
         self.version_reason = VersionReason.NO_ROLLOUT
         self.kept_tokens: int | None = None
         """Tokens of its prompt that the engine keeps; None where nobody knows."""
-        self.may_use_new = True
+        self.may_use_new_version = True
         """Whether it may go to the new version at all."""
-        self.session_on_new = False
+        self.session_on_new_version = False
         """Whether its session is on the new version, by whoever decides on it."""
-        self.is_spread = False
+        self.may_use_non_canaries = False
         """Whether any server of a version on trial may take it."""
         self.last_event = request.envelope.last_event
         """The last event that the caller has."""
         self.confidence: float | None = None
         """What the model of the last attempt says of its answer."""
-        self.first_s = 0.0
+        self.head_s = 0.0
         """Time until the caller got the head of an answer; 0 before it did."""
-        self.taken_at_stop: TakenAtStop | None = None
-        self.work = 1
+        self.admitted_at_stop: AdmittedAtStop | None = None
+        self.work_ms = 1
         self.reason = ""
-        self.trail: list[str] = []
+        self.timeline: list[str] = []
         """Backend servers and how each attempt ended, for the log."""
         self._fingerprint: str | None = None
 
     def release_exposure(self) -> None:
         """Give back what an attempt that was not sent has taken."""
-        if self.holds_exposure and self.exposure is not None:
+        if self.has_reserved_exposure and self.exposure is not None:
             self.exposure.release()
-        self.holds_exposure = False
+        self.has_reserved_exposure = False
 
-    def note_sent(self) -> None:
+    def record_sent(self) -> None:
         """Count an attempt that was sent."""
         self.runs += 1
         if self.exposure is None:
@@ -201,8 +201,8 @@
         if not self.is_counted:
             self.is_counted = True
             self.exposure.count_request()
-        if self.holds_exposure:
-            self.holds_exposure = False
+        if self.has_reserved_exposure:
+            self.has_reserved_exposure = False
             self.exposure.spend()
 
     @property
@@ -225,18 +225,18 @@
         return self._fingerprint
 
     @property
-    def may_run_again(self) -> bool:
+    def has_attempts_left(self) -> bool:
         """Tell whether its route allows another run."""
         return self.runs < self.route.max_attempts
 
     @property
-    def rank(self) -> int:
+    def priority(self) -> int:
         """Give the rank of the request, 0 first."""
         if self.account is not None and self.account.priority is not None:
             return self.account.priority
         return self.route.priority
 
     @property
-    def prompt_key(self) -> str | None:
+    def prefix(self) -> str | None:
         """Give the part of the prompt that should stay at one backend server."""
         return self.request.envelope.shared_part if self.route.has_prompts else None
--- a/src/baobabthread/instance/endings.py
+++ b/src/baobabthread/instance/endings.py
@@ -4,7 +4,7 @@
 
 import random
 
-from baobabthread.instance.flight import Flight
+from baobabthread.instance.context import RequestContext
 from baobabthread.instance.requestlog import RequestLog
 from baobabthread.routing.quarantine import Held
 
@@ -37,31 +37,31 @@
         self._log = log
         self._rng = rng
 
-    async def time_out(self, flight: Flight) -> None:
+    async def time_out(self, flight: RequestContext) -> None:
         """End a request whose time is over."""
         if self._surely_not_run(flight):
             await self.refuse(flight, "no_time_left", None)
         else:
             await self._fail(flight, 504, "timeout")
 
-    async def give_up(self, flight: Flight, kind: str) -> None:
+    async def give_up(self, flight: RequestContext, kind: str) -> None:
         """End a request for which nothing is left to try."""
         if self._surely_not_run(flight):
             await self.refuse(flight, kind, SOON_S * (1 + self._rng.random()))
         else:
             await self._fail(flight, 502, kind)
 
-    async def cut(self, flight: Flight) -> None:
+    async def cut(self, flight: RequestContext) -> None:
         """End a request that this instance's own end overtakes."""
         self._log.record_cut_by_stop(flight)
         if flight.reply.has_begun:
             flight.reply.abort()
         elif self._surely_not_run(flight):
-            await flight.reply.refuse(503, STOPPED_KIND, ELSEWHERE_S)
+            await flight.reply.reject(503, STOPPED_KIND, ELSEWHERE_S)
         else:
-            await flight.reply.refuse(502, STOPPED_KIND, None)
+            await flight.reply.reject(502, STOPPED_KIND, None)
 
-    async def hold_back(self, flight: Flight, held: Held) -> None:
+    async def hold_back(self, flight: RequestContext, held: Held) -> None:
         """End a request under which backend servers crash, and say what to do."""
         left_s = max(LEAST_HOLD_S, held.left_s)
         self._log.record_quarantined(flight)
@@ -71,23 +71,23 @@
         not_run = self._surely_not_run(flight)
         status, what = (503, NOT_RUN_NOW) if not_run else (502, MAY_HAVE_RUN)
         detail = f"{WHY_HELD} {what} {WHAT_TO_DO.format(left_s=round(left_s))}"
-        await flight.reply.refuse(status, HELD_KIND, left_s, detail)
+        await flight.reply.reject(status, HELD_KIND, left_s, detail)
 
     async def refuse(
-        self, flight: Flight, kind: str, retry_after_s: float | None
+        self, flight: RequestContext, kind: str, retry_after_s: float | None
     ) -> None:
         """Refuse a request that has not run and never will."""
         self._log.record_failure(flight, kind, 503)
-        await flight.reply.refuse(503, kind, retry_after_s)
+        await flight.reply.reject(503, kind, retry_after_s)
 
-    async def _fail(self, flight: Flight, status: int, kind: str) -> None:
+    async def _fail(self, flight: RequestContext, status: int, kind: str) -> None:
         self._log.record_failure(flight, kind, status)
         if flight.reply.has_begun:
             flight.reply.abort()
         else:
-            await flight.reply.refuse(status, kind, None)
+            await flight.reply.reject(status, kind, None)
 
-    def _surely_not_run(self, flight: Flight) -> bool:
+    def _surely_not_run(self, flight: RequestContext) -> bool:
         # 503 promises that the request has not run: callers then send a warning again
         # that may not go out twice.
         return flight.runs == 0 and not flight.reply.has_begun
--- a/src/baobabthread/instance/estimates.py
+++ b/src/baobabthread/instance/estimates.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from baobabthread.instance.flight import Flight
+from baobabthread.instance.context import RequestContext
 from baobabthread.routing.mechanisms import Mechanism, Switches
 from baobabthread.routing.pace import Pace
 from baobabthread.routing.pauses import Pauses
@@ -13,14 +13,14 @@
 knows no better, and a stream that its stop cuts is lost."""
 LENGTH_FACTOR = 3.0
 """Times its caller's estimate that an answer may be long where nothing bounds it."""
-LEAST_LATENCY_S = 0.01
+MIN_LATENCY_S = 0.01
 """Time that an answer takes besides the reading of its prompt."""
-PRICE_STEP = 0.2
+COST_SMOOTHING_FRACTION = 0.2
 """Part by which the price of late follows each wait that was asked for."""
 FREE_WAIT_S = 0.24
 """Wait at the best engine that costs nobody anything: it is what any prompt meets while
 others are read, an eighth of the shortest objectives of models' answers."""
-PRICE_WAIT_S = 1.6
+FULL_COST_WAIT_S = 1.6
 """Wait at the best engine from which a larger model's answer must be all of an answer's
 worth better: whatever is read then makes all that follows late."""
 
@@ -28,34 +28,34 @@
 class Estimates:
     """Ask the pace of answers about one request, and teach it."""
 
-    __slots__ = ("_pace", "_pauses", "price")
+    __slots__ = ("_latency_model", "_event_gaps", "engine_time_cost")
 
     def __init__(self) -> None:
-        self._pace = Pace()
-        self._pauses = Pauses()
-        self.price = 0.0
+        self._latency_model = Pace()
+        self._event_gaps = Pauses()
+        self.engine_time_cost = 0.0
         """What engine time was worth of late."""
 
-    def first_s(self, flight: Flight) -> float:
+    def first_s(self, flight: RequestContext) -> float:
         """Return about the seconds until the first part of an answer."""
         prompt = flight.request.envelope.prompt_tokens
-        return self._pace.first_s(flight.service, flight.model_name, prompt)
+        return self._latency_model.first_s(flight.service, flight.model_name, prompt)
 
-    def whole_s(self, flight: Flight, model: str | None) -> float:
+    def total_s(self, flight: RequestContext, model: str | None) -> float:
         """Return about the seconds until a model's answer is whole."""
         envelope = flight.request.envelope
-        return self._pace.whole_s(
+        return self._latency_model.whole_s(
             flight.service,
             model,
             prompt=envelope.prompt_tokens,
             tokens=envelope.expected_tokens,
         )
 
-    def longest_s(self, flight: Flight, model: str | None) -> float:
+    def max_total_s(self, flight: RequestContext, model: str | None) -> float:
         """Return about the seconds that a model's longest answer would take."""
         envelope = flight.request.envelope
         guess = int(LENGTH_FACTOR * envelope.expected_tokens)
-        return self._pace.whole_s(
+        return self._latency_model.whole_s(
             flight.service,
             model,
             prompt=envelope.prompt_tokens,
@@ -63,12 +63,15 @@
             least_token_s=SLOW_TOKEN_S,
         )
 
-    def work_ms(self, flight: Flight) -> int:
+    def work_ms(self, flight: RequestContext) -> int:
         """Return about how many milliseconds a backend server works on it."""
-        return max(1, int(self.whole_s(flight, flight.model_name) * 1000))
+        return max(1, int(self.total_s(flight, flight.model_name) * 1000))
 
     def reading_s(
-        self, flight: Flight, model: str | None = None, kept_tokens: int | None = None
+        self,
+        flight: RequestContext,
+        model: str | None = None,
+        kept_tokens: int | None = None,
     ) -> float:
         """Return the seconds that an engine reads the prompt; 0 at a plain service.
 
@@ -77,28 +80,32 @@
         if not flight.route.is_stream:
             return 0.0
         if kept_tokens is None:
-            kept_tokens = _find_kept(flight)
+            kept_tokens = _find_kept_tokens(flight)
         fresh = max(0, flight.request.envelope.prompt_tokens - kept_tokens)
         name = model or flight.model_name
-        return self._pace.unhindered_s(flight.service, name, fresh)
+        return self._latency_model.unhindered_s(flight.service, name, fresh)
 
-    def answer_s(self, flight: Flight) -> float:
+    def unloaded_first_s(self, flight: RequestContext) -> float:
         """Return the seconds to an answer's first part where nothing is in the way.
 
         Servers of a version on trial have kept no prompts yet: expected to answer like
         the others, a good version would pass for a slow one.
         """
-        is_unknown = flight.is_on_trial and flight.kept_tokens is None
+        is_unknown = flight.is_canary and flight.kept_tokens is None
         reading_s = self.reading_s(flight, kept_tokens=0 if is_unknown else None)
-        return LEAST_LATENCY_S + reading_s
+        return MIN_LATENCY_S + reading_s
 
-    def shared_s(self, flight: Flight) -> float:
+    def shared_s(self, flight: RequestContext) -> float:
         """Return the seconds that a cached prefix saves."""
         tokens = flight.request.envelope.shared_tokens
-        return self._pace.shared_s(flight.service, flight.model_name, tokens)
-
-    def price_models(
-        self, flight: Flight, wait_s: float, reading_s: float, off: Switches
+        return self._latency_model.shared_s(flight.service, flight.model_name, tokens)
+
+    def estimate_costs(
+        self,
+        flight: RequestContext,
+        wait_s: float,
+        reading_s: float,
+        disabled: Switches,
     ) -> tuple[float, ...]:
         """Return what the engine time of each model's answer is worth now.
 
@@ -106,29 +113,31 @@
         has to read there. A model that reads faster costs less, and so does a prompt
         whose parts are kept.
         """
-        if Mechanism.PRICE in off:
+        if Mechanism.PRICE in disabled:
             return ()
         models = flight.route.models
         largest_s = max(1e-3, self.reading_s(flight, models[-1], 0))
-        pressure = max(0.0, wait_s - FREE_WAIT_S) / PRICE_WAIT_S
-        self.price += PRICE_STEP * (pressure - self.price)
+        pressure = max(0.0, wait_s - FREE_WAIT_S) / FULL_COST_WAIT_S
+        self.engine_time_cost += COST_SMOOTHING_FRACTION * (
+            pressure - self.engine_time_cost
+        )
         prices = [
             pressure * self.reading_s(flight, model, 0) / largest_s for model in models
         ]
         prices[-1] = pressure * min(1.0, reading_s / largest_s)
         return tuple(prices)
 
-    def event_patience_s(self, flight: Flight) -> float:
+    def event_timeout_s(self, flight: RequestContext) -> float:
         """Return the silence within a stream after which its engine is given up."""
-        return self._pauses.patience_s(flight.service)
+        return self._event_gaps.patience_s(flight.service)
 
-    def observe_pause(self, flight: Flight, pause_s: float) -> None:
+    def observe_event_gap(self, flight: RequestContext, gap_s: float) -> None:
         """Learn from a pause within a stream, also from one that was given up."""
-        self._pauses.observe(flight.service, pause_s)
+        self._event_gaps.observe(flight.service, gap_s)
 
-    def observe_whole(self, flight: Flight, took_s: float) -> None:
+    def observe_response(self, flight: RequestContext, took_s: float) -> None:
         """Learn from an answer that came in one piece."""
-        self._pace.observe(
+        self._latency_model.observe(
             flight.service,
             flight.model_name,
             prompt=0,
@@ -138,21 +147,23 @@
             tokens=1,
         )
 
-    def observe_stream(self, flight: Flight, first_s: float, rest_s: float) -> None:
+    def observe_stream(
+        self, flight: RequestContext, first_s: float, rest_s: float
+    ) -> None:
         """Learn from a stream that came to its end."""
         envelope = flight.request.envelope
-        self._pace.observe(
+        self._latency_model.observe(
             flight.service,
             flight.model_name,
             prompt=envelope.prompt_tokens,
-            shared=_find_kept(flight),
+            shared=_find_kept_tokens(flight),
             first_s=first_s,
             rest_s=rest_s,
             tokens=envelope.expected_tokens,
         )
 
 
-def _find_kept(flight: Flight) -> int:
+def _find_kept_tokens(flight: RequestContext) -> int:
     """Return the tokens that need not be read; nobody's word means all shared ones."""
     if flight.kept_tokens is not None:
         return flight.kept_tokens
--- a/src/baobabthread/instance/forwarder.py
+++ b/src/baobabthread/instance/forwarder.py
@@ -8,29 +8,29 @@
 
 from baobabthread.core.backends.loads import ReadingEnd
 from baobabthread.core.limits.limits import Outcome
-from baobabthread.instance.admission import Admission, Verdict
-from baobabthread.instance.answers import Answers
+from baobabthread.instance.admission import Admission, Rejection
 from baobabthread.instance.attempts import (
-    Again,
     Attempt,
-    RefusedError,
-    SilentError,
-    judge,
+    RejectedError,
+    RetryRequested,
+    SilenceTimeoutError,
+    classify_outcome,
 )
 from baobabthread.instance.backends import BackendLink, Backends
 from baobabthread.instance.clock import now
 from baobabthread.instance.connections import (
-    BrokenError,
-    LostConnectionError,
+    ConnectionLostError,
+    IncompleteResponseError,
     NotSentError,
 )
-from baobabthread.instance.crashes import CrashWatch, Departure, Presence
+from baobabthread.instance.context import CallerRequest, Reply, RequestContext
+from baobabthread.instance.crashes import ActiveRequest, CrashDetector, Departure
 from baobabthread.instance.endings import Endings
 from baobabthread.instance.estimates import Estimates
-from baobabthread.instance.flight import CallerRequest, Flight, Reply
 from baobabthread.instance.placement import Placement
-from baobabthread.instance.quarantine import QuarantineDesk
+from baobabthread.instance.quarantine import QuarantineCoordinator
 from baobabthread.instance.requestlog import RequestLog
+from baobabthread.instance.responses import ResponseForwarder
 from baobabthread.instance.selection import Selection
 from baobabthread.instance.services import Services, ServiceState
 from baobabthread.instance.sessions import SessionDesk
@@ -41,12 +41,12 @@
 from baobabthread.routing.models import MODEL_CHOICES
 from baobabthread.routing.trial import Sent
 
-MOST_LOST = 3
+MAX_LOST_CONNECTIONS = 3
 """Connections that may end under one request, where its route allows more tries: three
 servers that crashed are enough to tell that it is the cause."""
-ANSWER_S = 0.2
+FINAL_RESPONSE_TIMEOUT_S = 0.2
 """Time in which the last answers of an instance that ends are sent."""
-MAX_OFFERS = 6
+MAX_BACKENDS_TRIED = 6
 """Backend servers that a request is offered to, those that refuse it included."""
 
 
@@ -56,48 +56,48 @@
     def __init__(
         self,
         *,
-        knowledge: Knowledge,
+        replica: Knowledge,
         backends: Backends,
         services: Services,
         wire: WireFormat,
         rng: random.Random,
         log: RequestLog,
-        desk: SessionDesk,
+        sessions: SessionDesk,
         placement: Placement,
-        crashes: CrashWatch,
-        quarantine: QuarantineDesk,
-        off: Switches = NONE_OFF,
+        crashes: CrashDetector,
+        quarantine: QuarantineCoordinator,
+        disabled: Switches = NONE_OFF,
     ) -> None:
         self._backends = backends
         self._services = services
         self._wire = wire
         self._log = log
-        self._desk = desk
+        self._sessions = sessions
         self._crashes = crashes
         self._quarantine = quarantine
-        self._off = off
+        self._disabled = disabled
         models = MODEL_CHOICES.get(
-            "largest" if Mechanism.STAGED_MODELS in off else "staged"
+            "largest" if Mechanism.STAGED_MODELS in disabled else "staged"
         )
         self._estimates = Estimates()
         self.selection = Selection(
-            knowledge=knowledge,
+            replica=replica,
             backends=backends,
             estimates=self._estimates,
             placement=placement,
-            off=off,
+            disabled=disabled,
         )
-        self._endings = Endings(log=log, rng=rng)
-        self._answers = Answers(
+        self._error_responses = Endings(log=log, rng=rng)
+        self._responses = ResponseForwarder(
             wire=wire,
             estimates=self._estimates,
             models=models,
             selection=self.selection,
-            off=off,
+            disabled=disabled,
             log=log,
         )
         self.admission = Admission(
-            knowledge=knowledge,
+            replica=replica,
             services=services,
             estimates=self._estimates,
             models=models,
@@ -106,12 +106,12 @@
         self.turns = Turns(
             services=services,
             estimates=self._estimates,
-            endings=self._endings,
+            endings=self._error_responses,
             log=log,
             rng=rng,
         )
         self._idle: asyncio.Event | None = None
-        self._is_ending = False
+        self._is_shutting_down = False
         """Whether what is in flight is cut as the process ends."""
         self._running: set[asyncio.Task[object]] = set()
         """Tasks of the requests in flight."""
@@ -122,13 +122,13 @@
         assert task is not None
         self._running.add(task)
         try:
-            await self.admission.wait_known()
+            await self.admission.wait_ready()
             found = self.admission.admit(request, reply)
-            if isinstance(found, Verdict):
+            if isinstance(found, Rejection):
                 self._log.record_rejection(request, found.kind, found.status)
-                await reply.refuse(found.status, found.kind, found.retry_after_s)
+                await reply.reject(found.status, found.kind, found.retry_after_s)
                 return
-            if not await self._hold_back(found):
+            if not await self._reject_quarantined(found):
                 await self._serve(found)
         finally:
             self._running.discard(task)
@@ -140,33 +140,33 @@
         """Give how many requests are in hand."""
         return len(self._running)
 
-    async def wait_idle(self, seconds: float) -> None:
+    async def wait_idle(self, timeout_s: float) -> None:
         """Wait until nothing is in flight, at most so long."""
         if not self.in_flight:
             return
         self._idle = asyncio.Event()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(seconds):
+            async with asyncio.timeout(timeout_s):
                 await self._idle.wait()
 
-    async def end(self) -> None:
+    async def shut_down(self) -> None:
         """End what is still in flight, each with an answer that says what is true."""
-        self._is_ending = True
+        self._is_shutting_down = True
         for task in list(self._running):
             task.cancel()
-        await self.wait_idle(ANSWER_S)
+        await self.wait_idle(FINAL_RESPONSE_TIMEOUT_S)
 
-    async def _serve(self, flight: Flight) -> None:
+    async def _serve(self, flight: RequestContext) -> None:
         try:
-            await self._wait_and_run(flight)
+            await self._queue_and_run(flight)
         except asyncio.CancelledError:
-            if not self._is_ending:
+            if not self._is_shutting_down:
                 self._log.record_caller_disconnect(flight)
                 raise
             task = asyncio.current_task()
             assert task is not None
             task.uncancel()
-            await self._endings.cut(flight)
+            await self._error_responses.cut(flight)
         except ConnectionError:
             self._log.record_caller_disconnect(flight)
             raise
@@ -174,104 +174,113 @@
             self._log.record_internal_error(flight, error)
             raise
 
-    async def _wait_and_run(self, flight: Flight) -> None:
+    async def _queue_and_run(self, flight: RequestContext) -> None:
         state = self._services.get(flight.service)
         ticket = await self.turns.wait(flight, state)
         if ticket is None:
             return
         try:
-            await self._run(flight, state)
+            await self._run_attempts(flight, state)
         finally:
             flight.release_exposure()
             self.turns.finish(ticket, flight, state)
 
-    async def _hold_back(self, flight: Flight) -> bool:
+    async def _reject_quarantined(self, flight: RequestContext) -> bool:
         """End a request under which backend servers crash; tell whether it was one.
 
         Asked when it comes, before each attempt and after one that failed: it may be
         held while it waits or runs, and each attempt more costs a server.
         """
-        if not self._quarantine.holds_any:
+        if not self._quarantine.has_entries:
             return False
         held = self._quarantine.find(flight.fingerprint)
         if held is None:
             return False
-        await self._endings.hold_back(flight, held)
+        await self._error_responses.hold_back(flight, held)
         return True
 
-    async def _run(self, flight: Flight, state: ServiceState) -> None:
-        if not flight.is_free and state.plan.is_contested(flight.session, now()):
-            flight.session_on_new = await self._desk.decide(state.plan, flight.session)
+    async def _run_attempts(self, flight: RequestContext, state: ServiceState) -> None:
+        if not flight.is_sessionless and state.plan.is_contested(flight.session, now()):
+            flight.session_on_new_version = await self._sessions.decide(
+                state.plan, flight.session
+            )
         while True:
             if flight.deadline - now() < LEAST_LEFT_S:
-                await self._endings.time_out(flight)
+                await self._error_responses.time_out(flight)
                 return
-            if await self._hold_back(flight):
+            if await self._reject_quarantined(flight):
                 return
             link = await self.selection.select(flight, state.plan)
             self._log.record_version_choice(flight, state.plan)
             if link is None:
-                await self._endings.give_up(flight, self.selection.explain_none(flight))
+                await self._error_responses.give_up(
+                    flight, self.selection.explain_unavailable(flight)
+                )
                 return
             try:
                 await self._attempt(flight, state, link)
                 return
-            except Again:
+            except RetryRequested:
                 continue
 
     async def _attempt(
-        self, flight: Flight, state: ServiceState, link: BackendLink
+        self, flight: RequestContext, state: ServiceState, link: BackendLink
     ) -> None:
         """Try one backend server; raise `Again` when another one is to be tried."""
         attempt = Attempt(
-            flight=flight,
+            context=flight,
             link=link,
             usual_first_s=self._estimates.first_s(flight),
-            event_patience_s=self._estimates.event_patience_s(flight),
+            event_timeout_s=self._estimates.event_timeout_s(flight),
             may_give_up=lambda: self._may_give_up(flight, state, link),
         )
-        flight.work = self._estimates.work_ms(flight)
+        flight.work_ms = self._estimates.work_ms(flight)
         occupancy = self._backends.occupy(
-            link, work=flight.work, first_s=self._estimates.reading_s(flight)
+            link, work_ms=flight.work_ms, first_s=self._estimates.reading_s(flight)
         )
         prompt = self.selection.place(flight, link)
         reading_end = ReadingEnd.DROPPED
         flight.attempts += 1
-        on_old = not flight.on_new
+        on_old = not flight.on_new_version
         if on_old:
             state.plan.started_old(flight.session, now())
-        self._note_use(flight, state)
-        presence = Presence(flight=flight, abort=attempt.abort)
+        self._report_session_use(flight, state)
+        presence = ActiveRequest(context=flight, abort=attempt.abort)
         self._crashes.enter(presence, link)
         departure = Departure.CANCELLED
         outcome = Outcome.CANCELLED
         trial = state.plan.trial
-        ticket = self._begin_trial(flight, state)
+        ticket = self._start_observation(flight, state)
         try:
             head = await attempt.open(self._wire)
             trial.end(ticket, failed=head.is_failure, now=now())
-            presence.begin()
+            presence.record_begin()
             occupancy.begin(head.latency_s)
             if prompt is not None:
                 prompt.end(ReadingEnd.BEGUN)
-            await self._answers.take(flight, state, attempt, head)
+            await self._responses.handle(flight, state, attempt, head)
             outcome = Outcome.FAILED if head.is_failure else Outcome.OK
             departure = Departure.ANSWERED
-        except Again as again:
+        except RetryRequested as again:
             outcome = again.outcome
             raise
-        except (NotSentError, RefusedError, BrokenError, TimeoutError) as error:
-            outcome = judge(error)
+        except (
+            NotSentError,
+            RejectedError,
+            IncompleteResponseError,
+            TimeoutError,
+        ) as error:
+            outcome = classify_outcome(error)
             departure = _find_departure(error)
-            if isinstance(error, SilentError | TimeoutError):
+            if isinstance(error, SilenceTimeoutError | TimeoutError):
                 trial.end(ticket, failed=None, now=now())
-            if _is_gone(error):
+            if _is_unavailable(error):
                 reading_end = ReadingEnd.SILENT
-            flight.trail.append(f"{link.record.id}:{str(error) or 'timeout'}")
+            flight.timeline.append(f"{link.record.id}:{str(error) or 'timeout'}")
             attempt.abort()
             # Told of at once: what follows may wait for a slow caller.
             self._crashes.leave(presence, link, departure)
-            await self._recover(flight, state, link, error)
+            await self._retry_or_fail(flight, state, link, error)
         finally:
             attempt.abort()
             trial.cancel(ticket)
@@ -281,88 +290,92 @@
                 prompt.end(reading_end)
             if on_old:
                 state.plan.ended_old(flight.session, now())
-            self._note_use(flight, state)
+            self._report_session_use(flight, state)
 
-    def _begin_trial(self, flight: Flight, state: ServiceState) -> int:
+    def _start_observation(self, flight: RequestContext, state: ServiceState) -> int:
         """Note an attempt whose answer speaks for a version or against it.
 
         Without a trial it tells what answers of the version in force usually take.
         """
         return state.plan.trial.begin(
             Sent(
-                on_trial=bool(flight.on_new) and state.plan.is_running,
+                on_trial=bool(flight.on_new_version) and state.plan.is_running,
                 call=flight.route.name,
                 kind=f"{flight.route.name}/{flight.model_name}",
                 at=now(),
-                expected_s=self._estimates.answer_s(flight),
+                expected_s=self._estimates.unloaded_first_s(flight),
             )
         )
 
-    def _note_use(self, flight: Flight, state: ServiceState) -> None:
+    def _report_session_use(self, flight: RequestContext, state: ServiceState) -> None:
         """Tell who decides on its session which version a request is on."""
-        if flight.is_free:
+        if flight.is_sessionless:
             return
-        if flight.on_new:
-            self._desk.note_new(state.plan, flight.session)
+        if flight.on_new_version:
+            self._sessions.note_new(state.plan, flight.session)
         else:
-            self._desk.note_use(state.plan, flight.session)
+            self._sessions.note_use(state.plan, flight.session)
 
-    async def _recover(
-        self, flight: Flight, state: ServiceState, link: BackendLink, error: Exception
+    async def _retry_or_fail(
+        self,
+        flight: RequestContext,
+        state: ServiceState,
+        link: BackendLink,
+        error: Exception,
     ) -> None:
         """Try again where that is safe and within the budget, otherwise fail."""
         flight.excluded.add(link.name)
         if isinstance(error, TimeoutError):
-            await self._endings.time_out(flight)
+            await self._error_responses.time_out(flight)
             return
-        if await self._hold_back(flight):
+        if await self._reject_quarantined(flight):
             return
-        flight.lost += isinstance(error, LostConnectionError)
-        surely_not_run = isinstance(error, NotSentError | RefusedError)
-        may_repeat = flight.route.may_repeat and flight.may_run_again
+        flight.lost_connections += isinstance(error, ConnectionLostError)
+        surely_not_run = isinstance(error, NotSentError | RejectedError)
+        may_repeat = flight.route.may_repeat and flight.has_attempts_left
         if not surely_not_run and not may_repeat:
-            await self._endings.give_up(flight, "backend_failed")
+            await self._error_responses.give_up(flight, "backend_failed")
             return
-        if flight.attempts >= MAX_OFFERS:
-            await self._endings.give_up(flight, "backends_refused")
+        if flight.attempts >= MAX_BACKENDS_TRIED:
+            await self._error_responses.give_up(flight, "backends_refused")
             return
-        if flight.lost >= MOST_LOST:
-            await self._endings.give_up(flight, "connections_lost")
+        if flight.lost_connections >= MAX_LOST_CONNECTIONS:
+            await self._error_responses.give_up(flight, "connections_lost")
             return
         # What never left for a backend server is no repeat.
-        is_paid = isinstance(error, NotSentError | SilentError)
+        is_paid = isinstance(error, NotSentError | SilenceTimeoutError)
         if not is_paid and not state.spend():
-            await self._endings.give_up(flight, "retry_budget")
+            await self._error_responses.give_up(flight, "retry_budget")
             return
-        raise Again(judge(error))
+        raise RetryRequested(classify_outcome(error))
 
     def _may_give_up(
-        self, flight: Flight, state: ServiceState, link: BackendLink
+        self, flight: RequestContext, state: ServiceState, link: BackendLink
     ) -> bool:
         """Take a repeat for an attempt that is silent; without one it is waited for.
 
         Giving up without another try would turn a slow answer into none, and under load
         every answer is slow.
         """
-        if not flight.route.may_repeat or not flight.may_run_again:
+        if not flight.route.may_repeat or not flight.has_attempts_left:
             return False
-        if Mechanism.PATIENCE in self._off:
+        if Mechanism.PATIENCE in self._disabled:
             return False
-        if flight.attempts >= MAX_OFFERS:
+        if flight.attempts >= MAX_BACKENDS_TRIED:
             return False
-        return self.selection.has_other(flight, link) and state.spend()
+        return self.selection.has_alternative(flight, link) and state.spend()
 
 
 def _find_departure(error: Exception) -> Departure:
     """Return how a request left a backend server that did not answer it."""
-    if isinstance(error, NotSentError | RefusedError):
+    if isinstance(error, NotSentError | RejectedError):
         return Departure.NEVER_SENT
-    is_lost = isinstance(error, LostConnectionError)
+    is_lost = isinstance(error, ConnectionLostError)
     return Departure.LOST if is_lost else Departure.CANCELLED
 
 
-def _is_gone(error: Exception) -> bool:
+def _is_unavailable(error: Exception) -> bool:
     """Tell whether an attempt's end says that its backend server isn't there."""
-    if isinstance(error, RefusedError):
+    if isinstance(error, RejectedError):
         return error.is_other_server
-    return isinstance(error, SilentError)
+    return isinstance(error, SilenceTimeoutError)
--- a/src/baobabthread/instance/heldrecords.py
+++ b/src/baobabthread/instance/heldrecords.py
@@ -9,7 +9,7 @@
 
 from baobabthread.errors import BaobabthreadError
 from baobabthread.instance.clock import now
-from baobabthread.instance.quarantine import QuarantineDesk
+from baobabthread.instance.quarantine import QuarantineCoordinator
 from baobabthread.instance.relaying import Relay
 from baobabthread.instance.store import (
     Append,
@@ -35,7 +35,7 @@
     def __init__(
         self,
         *,
-        desk: QuarantineDesk,
+        desk: QuarantineCoordinator,
         relay: Relay,
         store: Store,
         formats: RecordFormat,
@@ -57,7 +57,9 @@
 
     async def _step(self) -> None:
         desk = self._desk
-        if not desk.knows_all and (self._relay.is_reader or desk.must_read):
+        if not desk.has_complete_list and (
+            self._relay.is_reader or desk.must_read_store
+        ):
             await self._load()
         moment = now()
         for fingerprint, due in list(desk.unwritten.items()):
@@ -68,8 +70,8 @@
         """Take over what is stored; return it, and where the topic ends."""
         page = await self._store.newest(self._formats.status_topic, CALL_S)
         stored = self._decode(page)
-        self._desk.learn(list(stored.values()), source="store")
-        self._desk.knows_all = True
+        self._desk.apply_entries(list(stored.values()), source="store")
+        self._desk.has_complete_list = True
         return stored, page.end
 
     async def _write(self, fingerprint: str) -> None:
--- a/src/baobabthread/instance/peers.py
+++ b/src/baobabthread/instance/peers.py
@@ -21,24 +21,24 @@
 from baobabthread.core.messages import Effects, Send
 from baobabthread.instance.clock import now
 from baobabthread.instance.connections import (
-    BrokenError,
     ConnectionPool,
+    IncompleteResponseError,
     NotSentError,
     encode_head,
 )
 from baobabthread.instance.placement import (
     LOAD_MESSAGES,
-    AskLoads,
-    LoadsAre,
+    LoadsReply,
+    LoadsRequest,
     Placement,
-    TellEnded,
-    TellPlaced,
+    PromptEnded,
+    PromptPlaced,
 )
 from baobabthread.instance.quarantine import (
     QUARANTINE_MESSAGES,
-    CompareHeld,
-    HeldAre,
-    QuarantineDesk,
+    QuarantineCoordinator,
+    QuarantineDigest,
+    QuarantineEntries,
 )
 from baobabthread.instance.relaying import (
     RELAY_MESSAGES,
@@ -121,8 +121,8 @@
                 *QUARANTINE_MESSAGES,
             )
         )
-        self.quarantine = QuarantineDesk(me=settings.name, tell=self._tell)
-        self.placement = Placement(me=settings.name, tell=self._tell)
+        self.quarantine = QuarantineCoordinator(me=settings.name, send=self._tell)
+        self.placement = Placement(me=settings.name, send=self._tell)
         self.trials = TrialDesk(me=settings.name, tell=self._tell)
         self.desk = SessionDesk(me=settings.name, tell=self._tell, find_plan=find_plan)
         self.relay = Relay(
@@ -180,22 +180,22 @@
                 self.relay.take(sender, message)
             case AskVersion() | VersionIs() | SessionsInUse() | UsesNoted():
                 self.desk.handle(sender, message)
-            case AskLoads():
-                self.placement.answer(sender, message)
-            case LoadsAre():
-                self.placement.take(message)
-            case TellPlaced():
-                self.placement.take_placed(sender, message)
-            case TellEnded():
-                self.placement.take_ended(sender, message)
+            case LoadsRequest():
+                self.placement.handle_request(sender, message)
+            case LoadsReply():
+                self.placement.handle_reply(message)
+            case PromptPlaced():
+                self.placement.handle_placed(sender, message)
+            case PromptEnded():
+                self.placement.handle_ended(sender, message)
             case TrialWord() | TrialPermit() | TrialVerdict():
                 self.trials.handle(sender, message)
             case Crash():
-                self.quarantine.take_crash(message)
-            case CompareHeld():
-                self.quarantine.compare(sender, message)
-            case HeldAre():
-                self.quarantine.take(sender, message)
+                self.quarantine.handle_crash(message)
+            case QuarantineDigest():
+                self.quarantine.handle_digest(sender, message)
+            case QuarantineEntries():
+                self.quarantine.handle_entries(sender, message)
             case _:
                 self._run(self.membership.handle(sender, message, now()))
 
@@ -321,7 +321,12 @@
             async with asyncio.timeout(FETCH_S):
                 body = await _get(pool, address, self._knowledge.operators_end)
             snapshot = msgspec.json.decode(body, type=Snapshot)
-        except (NotSentError, BrokenError, TimeoutError, msgspec.MsgspecError) as error:
+        except (
+            NotSentError,
+            IncompleteResponseError,
+            TimeoutError,
+            msgspec.MsgspecError,
+        ) as error:
             log_event("peer_unreachable", peer=peer, error=str(error) or "timeout")
             return
         before = self._knowledge.changes
@@ -374,5 +379,5 @@
         raise
     response.finish()
     if response.status != 200:
-        raise BrokenError(f"status {response.status}")
+        raise IncompleteResponseError(f"status {response.status}")
     return body
--- a/src/baobabthread/instance/placement.py
+++ b/src/baobabthread/instance/placement.py
@@ -17,16 +17,16 @@
 from baobabthread.core.rendezvous import rank
 from baobabthread.instance.clock import now
 
-ANSWER_S = 0.02
+REPLY_TIMEOUT_S = 0.02
 """Time for the answers of all keepers: several trips between failure domains. Whoever
 does not answer costs no more than this, a hundredth of the shortest objectives."""
-SILENT_S = 1.0
+OWNER_BACKOFF_S = 1.0
 """Time for which a keeper that did not answer isn't asked: it is paused or gone."""
 
-Tell = Callable[[str, msgspec.Struct], None]
+SendMessage = Callable[[str, msgspec.Struct], None]
 
 
-class AskLoads(msgspec.Struct, frozen=True, kw_only=True, tag="loads.ask"):
+class LoadsRequest(msgspec.Struct, frozen=True, kw_only=True, tag="loads.ask"):
     """Ask what a prompt would meet at some engines."""
 
     sequence: int
@@ -34,21 +34,21 @@
     parts: tuple[Part, ...] = ()
 
 
-class LoadsAre(msgspec.Struct, frozen=True, kw_only=True, tag="loads.are"):
+class LoadsReply(msgspec.Struct, frozen=True, kw_only=True, tag="loads.are"):
     """Tell it, in the order of the question."""
 
     sequence: int
     loads: list[Load]
 
 
-class TellPlaced(msgspec.Struct, frozen=True, kw_only=True, tag="loads.placed"):
+class PromptPlaced(msgspec.Struct, frozen=True, kw_only=True, tag="loads.placed"):
     """Tell a keeper of a prompt that was placed at its engine."""
 
     engine: str
     placed: Placed
 
 
-class TellEnded(msgspec.Struct, frozen=True, kw_only=True, tag="loads.ended"):
+class PromptEnded(msgspec.Struct, frozen=True, kw_only=True, tag="loads.ended"):
     """Tell a keeper that a placed prompt needs no more reading."""
 
     engine: str
@@ -56,15 +56,15 @@
     end: ReadingEnd
 
 
-LOAD_MESSAGES = (AskLoads, LoadsAre, TellPlaced, TellEnded)
+LOAD_MESSAGES = (LoadsRequest, LoadsReply, PromptPlaced, PromptEnded)
 
 
-class _Question:
-    __slots__ = ("answer", "asked", "loads")
+class _Query:
+    __slots__ = ("completed", "asked", "loads")
 
     def __init__(self, answer: asyncio.Future[None]) -> None:
-        self.answer = answer
-        self.asked: dict[int, tuple[str, list[str]]] = {}
+        self.completed = answer
+        self.pending: dict[int, tuple[str, list[str]]] = {}
         self.loads: dict[str, Load] = {}
 
 
@@ -76,28 +76,28 @@
         "_keepers",
         "_loads",
         "_me",
-        "_number",
+        "_sequence",
         "_questions",
         "_silent_until",
-        "_tell",
+        "_send",
     )
 
-    def __init__(self, *, me: str, tell: Tell) -> None:
+    def __init__(self, *, me: str, send: SendMessage) -> None:
         self._me = me
-        self._tell = tell
-        self._alive: list[str] = [me]
-        self._keepers: dict[str, str] = {}
+        self._send = send
+        self._members: list[str] = [me]
+        self._owners: dict[str, str] = {}
         self._loads = EngineLoads()
-        self._number = 0
-        self._questions: dict[int, _Question] = {}
-        self._silent_until: dict[str, float] = {}
+        self._sequence = 0
+        self._queries: dict[int, _Query] = {}
+        self._backoff_until: dict[str, float] = {}
 
     def set_members(self, names: list[str]) -> None:
         """Note which instances serve, this one included."""
-        self._alive = names or [self._me]
-        self._keepers.clear()
-        silent = self._silent_until
-        self._silent_until = {n: t for n, t in silent.items() if n in self._alive}
+        self._members = names or [self._me]
+        self._owners.clear()
+        silent = self._backoff_until
+        self._backoff_until = {n: t for n, t in silent.items() if n in self._members}
 
     def tick(self) -> None:
         """Forget what is idle."""
@@ -105,59 +105,59 @@
 
     # -- asking --
 
-    async def ask(
+    async def query_loads(
         self, engines: Sequence[str], parts: tuple[Part, ...]
     ) -> Mapping[str, Load]:
         """Return what a prompt would meet at engines, as far as keepers answer."""
         by_keeper: dict[str, list[str]] = {}
         for engine in engines:
-            by_keeper.setdefault(self._find_keeper(engine), []).append(engine)
+            by_keeper.setdefault(self._find_owner(engine), []).append(engine)
         moment = now()
-        question = _Question(asyncio.get_running_loop().create_future())
+        question = _Query(asyncio.get_running_loop().create_future())
         for name in by_keeper.pop(self._me, []):
             question.loads[name] = self._loads.describe(name, parts, moment)
         for keeper, names in by_keeper.items():
-            if self._silent_until.get(keeper, 0.0) <= moment:
-                self._ask(question, keeper, names, parts)
-        if question.asked:
-            await self._await_answers(question)
+            if self._backoff_until.get(keeper, 0.0) <= moment:
+                self._send_request(question, keeper, names, parts)
+        if question.pending:
+            await self._await_replies(question)
         return question.loads
 
-    def _ask(
+    def _send_request(
         self,
-        question: _Question,
-        keeper: str,
+        query: _Query,
+        owner: str,
         engines: list[str],
         parts: tuple[Part, ...],
     ) -> None:
-        self._number += 1
-        question.asked[self._number] = (keeper, engines)
-        self._questions[self._number] = question
-        self._tell(
-            keeper, AskLoads(sequence=self._number, engines=engines, parts=parts)
+        self._sequence += 1
+        query.pending[self._sequence] = (owner, engines)
+        self._queries[self._sequence] = query
+        self._send(
+            owner, LoadsRequest(sequence=self._sequence, engines=engines, parts=parts)
         )
 
-    async def _await_answers(self, question: _Question) -> None:
+    async def _await_replies(self, query: _Query) -> None:
         try:
-            async with asyncio.timeout(ANSWER_S):
-                await question.answer
+            async with asyncio.timeout(REPLY_TIMEOUT_S):
+                await query.completed
         except TimeoutError:
-            for keeper, _ in question.asked.values():
-                self._silent_until[keeper] = now() + SILENT_S
+            for keeper, _ in query.pending.values():
+                self._backoff_until[keeper] = now() + OWNER_BACKOFF_S
         finally:
-            for number in question.asked:
-                self._questions.pop(number, None)
+            for number in query.pending:
+                self._queries.pop(number, None)
 
-    def take(self, word: LoadsAre) -> None:
+    def handle_reply(self, reply: LoadsReply) -> None:
         """Take in a keeper's answer."""
-        question = self._questions.pop(word.sequence, None)
+        question = self._queries.pop(reply.sequence, None)
         if question is None:
             return
-        keeper, engines = question.asked.pop(word.sequence)
-        self._silent_until.pop(keeper, None)
-        question.loads.update(zip(engines, word.loads, strict=False))
-        if not question.asked and not question.answer.done():
-            question.answer.set_result(None)
+        keeper, engines = question.pending.pop(reply.sequence)
+        self._backoff_until.pop(keeper, None)
+        question.loads.update(zip(engines, reply.loads, strict=False))
+        if not question.pending and not question.completed.done():
+            question.completed.set_result(None)
 
     # -- telling --
 
@@ -171,52 +171,54 @@
         memory_tokens: int = 0,
     ) -> PlacedPrompt:
         """Tell an engine's keeper that it is to read a prompt."""
-        self._number += 1
+        self._sequence += 1
         placed = Placed(
-            number=self._number,
+            number=self._sequence,
             reading_s=round(reading_s, 4),
             lasts_s=round(lasts_s, 2),
             parts=parts,
             memory_tokens=memory_tokens,
         )
-        keeper = self._find_keeper(engine)
+        keeper = self._find_owner(engine)
         if keeper == self._me:
-            self.take_placed(self._me, TellPlaced(engine=engine, placed=placed))
+            self.handle_placed(self._me, PromptPlaced(engine=engine, placed=placed))
         else:
-            self._tell(keeper, TellPlaced(engine=engine, placed=placed))
+            self._send(keeper, PromptPlaced(engine=engine, placed=placed))
         return PlacedPrompt(placement=self, engine=engine, number=placed.number)
 
-    def tell_ended(self, word: TellEnded) -> None:
+    def report_ended(self, message: PromptEnded) -> None:
         """Tell an engine's keeper that a placed prompt needs no more reading."""
-        keeper = self._find_keeper(word.engine)
+        keeper = self._find_owner(message.engine)
         if keeper == self._me:
-            self.take_ended(self._me, word)
+            self.handle_ended(self._me, message)
         else:
-            self._tell(keeper, word)
+            self._send(keeper, message)
 
     # -- keeping --
 
-    def answer(self, sender: str, question: AskLoads) -> None:
+    def handle_request(self, sender: str, request: LoadsRequest) -> None:
         """Answer another instance."""
         moment = now()
         loads = [
-            self._loads.describe(engine, question.parts, moment)
-            for engine in question.engines
+            self._loads.describe(engine, request.parts, moment)
+            for engine in request.engines
         ]
-        self._tell(sender, LoadsAre(sequence=question.sequence, loads=loads))
+        self._send(sender, LoadsReply(sequence=request.sequence, loads=loads))
 
-    def take_placed(self, sender: str, word: TellPlaced) -> None:
+    def handle_placed(self, sender: str, message: PromptPlaced) -> None:
         """Count a prompt that is placed at an engine kept here."""
-        self._loads.find(word.engine, now()).place(sender, word.placed, now())
+        self._loads.find(message.engine, now()).place(sender, message.placed, now())
 
-    def take_ended(self, sender: str, word: TellEnded) -> None:
+    def handle_ended(self, sender: str, message: PromptEnded) -> None:
         """Take a prompt off the load of an engine kept here."""
-        self._loads.find(word.engine, now()).end(sender, word.number, word.end, now())
+        self._loads.find(message.engine, now()).end(
+            sender, message.number, message.end, now()
+        )
 
-    def _find_keeper(self, engine: str) -> str:
-        keeper = self._keepers.get(engine)
+    def _find_owner(self, engine: str) -> str:
+        keeper = self._owners.get(engine)
         if keeper is None:
-            keeper = self._keepers[engine] = rank(engine, self._alive)[0]
+            keeper = self._owners[engine] = rank(engine, self._members)[0]
         return keeper
 
 
@@ -236,6 +238,6 @@
         if not self._is_open:
             return
         self._is_open = False
-        self._placement.tell_ended(
-            TellEnded(engine=self._engine, number=self._number, end=end)
+        self._placement.report_ended(
+            PromptEnded(engine=self._engine, number=self._number, end=end)
         )
--- a/src/baobabthread/instance/process.py
+++ b/src/baobabthread/instance/process.py
@@ -15,12 +15,12 @@
 from aiohttp import web
 
 from baobabthread.instance.backends import Backends
+from baobabthread.instance.callers import CallerServer, create_server, listen
 from baobabthread.instance.clock import now
 from baobabthread.instance.conducting import Conducting
-from baobabthread.instance.crashes import CrashWatch
+from baobabthread.instance.crashes import CrashDetector
 from baobabthread.instance.feeds import BackendsFeed, OperatorsFeed
 from baobabthread.instance.forwarder import Forwarder
-from baobabthread.instance.front import Front, listen, make_server
 from baobabthread.instance.heldrecords import HeldRecords
 from baobabthread.instance.logoutput import configure_logging, run_log_flusher
 from baobabthread.instance.metrics import Metrics
@@ -92,12 +92,12 @@
         self._areas = Areas(areas=settings.regions)
         self.restrictions = Restrictions(
             me=settings.name,
-            knowledge=self.knowledge,
-            areas=self._areas,
+            replica=self.knowledge,
+            regions=self._areas,
             bounds=settings.bounds,
         )
         self.backends = Backends(
-            knowledge=self.knowledge,
+            replica=self.knowledge,
             restrictions=self.restrictions,
             failure_domain=settings.failure_domain,
             rng=rng,
@@ -115,21 +115,21 @@
             rng=rng,
             find_plan=lambda name: self.services.get(name).plan,
         )
-        self.crashes = CrashWatch(
-            backends=self.backends, report=self.peers.quarantine.report
+        self.crashes = CrashDetector(
+            backends=self.backends, report=self.peers.quarantine.report_crash
         )
         self.forwarder = Forwarder(
-            knowledge=self.knowledge,
+            replica=self.knowledge,
             backends=self.backends,
             services=self.services,
             wire=self._wire,
             rng=rng,
             log=RequestLog(knowledge=self.knowledge, metrics=self.metrics),
-            desk=self.peers.desk,
+            sessions=self.peers.desk,
             placement=self.peers.placement,
             crashes=self.crashes,
             quarantine=self.peers.quarantine,
-            off=settings.off,
+            disabled=settings.off,
         )
         self._connect_quarantine()
         self.conducting = Conducting(
@@ -150,12 +150,14 @@
 
     def _connect_quarantine(self) -> None:
         desk = self.peers.quarantine
-        desk.is_on_trial = self.services.is_on_trial
-        desk.on_unproven = self.services.note_crash
+        desk.is_canary = self.services.is_on_trial
+        desk.on_unproven_crash = self.services.note_crash
         desk.find_versions = self.backends.versions
         desk.was_answered = self.crashes.was_answered
-        desk.on_held = self.crashes.cancel
-        self.crashes.on_answered = lambda flight: desk.note_answered(flight.fingerprint)
+        desk.on_quarantined = self.crashes.cancel
+        self.crashes.on_answered = lambda flight: desk.release_answered(
+            flight.fingerprint
+        )
 
     # -- what others may ask --
 
@@ -267,13 +269,13 @@
             takes_ms=round((plan.takes_until - plan.began_at) * 1000),
             ends_ms=round((plan.ends_at - plan.began_at) * 1000),
         )
-        self.forwarder.admission.leave(plan)
+        self.forwarder.admission.begin_stop(plan)
         await asyncio.sleep(plan.accepts_until - now())
         if self._callers is not None:
             self._callers.close()
         await self.forwarder.wait_idle(plan.ends_at - now())
         log_event("instance_stopped", in_flight=self.forwarder.in_flight)
-        await self.forwarder.end()
+        await self.forwarder.shut_down()
 
     async def _open(self, stack: AsyncExitStack) -> None:
         settings = self._settings
@@ -285,7 +287,7 @@
         interface = self._outside.make_interface(
             lambda: self.is_ready, self.find_addresses
         )
-        front = Front(
+        front = CallerServer(
             handle=self.forwarder.handle,
             wire=self._wire,
             is_leaving=lambda: self.is_leaving,
@@ -301,7 +303,7 @@
     async def _listen(
         self, stack: AsyncExitStack, serve: Any, address: str
     ) -> asyncio.Server:
-        server = await listen(make_server(serve), address)
+        server = await listen(create_server(serve), address)
         stack.callback(server.close)
         return server
 
@@ -309,7 +311,7 @@
         self.backends.refresh()
         self.conducting.take_orders()
         if self.knowledge.is_complete:
-            self.forwarder.admission.note_known()
+            self.forwarder.admission.mark_ready()
 
     def _limit_body(self) -> int:
         table = self.knowledge.table
@@ -364,7 +366,7 @@
         if self._members_seen != membership.version:
             self._members_seen = membership.version
             names = [member.name for member in membership.members()]
-            self.restrictions.note_members(names, now())
+            self.restrictions.update_members(names, now())
 
     async def _prune(self) -> None:
         while True:
--- a/src/baobabthread/instance/requestlog.py
+++ b/src/baobabthread/instance/requestlog.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from baobabthread.instance.clock import now
-from baobabthread.instance.flight import CallerRequest, Flight
+from baobabthread.instance.context import CallerRequest, RequestContext
 from baobabthread.instance.metrics import Metrics
 from baobabthread.logs import log_event, write_event
 from baobabthread.routing.configuration import BackendRecord
@@ -57,10 +57,10 @@
         self._successes = LineRateLimiter(per_s=SUCCESS_LINES_PER_S)
         self._choices = LineRateLimiter(per_s=VERSION_CHOICE_LINES_PER_S)
 
-    def record_version_choice(self, flight: Flight, plan: VersionPlan) -> None:
+    def record_version_choice(self, flight: RequestContext, plan: VersionPlan) -> None:
         """Note which version a request of a session got in a roll-out, and why."""
         reason = flight.version_reason
-        if not plan.is_running or flight.is_free:
+        if not plan.is_running or flight.is_sessionless:
             return
         self._metrics.version_choices.labels(
             service=flight.service, reason=str(reason)
@@ -85,7 +85,7 @@
         )
 
     def record_response(
-        self, flight: Flight, backend: BackendRecord, status: int
+        self, flight: RequestContext, backend: BackendRecord, status: int
     ) -> None:
         """Note an answer that was passed on."""
         elapsed_s = now() - flight.started_at
@@ -97,7 +97,7 @@
         if lines.try_acquire():
             write_event("request_answered", self._describe(flight, status, backend))
 
-    def record_failure(self, flight: Flight, kind: str, status: int) -> None:
+    def record_failure(self, flight: RequestContext, kind: str, status: int) -> None:
         """Note a request that ended with a refusal or failure of this side's own."""
         self._metrics.rejected.labels(kind=kind).inc()
         if self._failures.try_acquire():
@@ -105,7 +105,7 @@
                 "request_given_up", self._describe(flight, status, None, kind=kind)
             )
 
-    def record_quarantined(self, flight: Flight) -> None:
+    def record_quarantined(self, flight: RequestContext) -> None:
         """Note a request that is held back as backend servers crash under it."""
         self._metrics.rejected.labels(kind="quarantined").inc()
         if self._failures.try_acquire():
@@ -125,20 +125,22 @@
             }
             write_event("request_turned_away", fields | self._describe_replica())
 
-    def record_caller_disconnect(self, flight: Flight) -> None:
+    def record_caller_disconnect(self, flight: RequestContext) -> None:
         """Note a caller that left before its answer was whole."""
         self._metrics.rejected.labels(kind="caller_gone").inc()
         if self._failures.try_acquire():
             write_event("caller_gone", self._describe(flight, 0, None))
 
-    def record_cut_by_stop(self, flight: Flight) -> None:
+    def record_cut_by_stop(self, flight: RequestContext) -> None:
         """Note a request that was not answered when this instance ended."""
         self._metrics.rejected.labels(kind="cut_by_stop").inc()
         if self._failures.try_acquire():
             fields = self._describe(flight, 0, None, begun=flight.reply.has_begun)
             write_event("request_cut_by_stop", fields)
 
-    def record_internal_error(self, flight: Flight, error: BaseException) -> None:
+    def record_internal_error(
+        self, flight: RequestContext, error: BaseException
+    ) -> None:
         """Note an error of this program's own."""
         log_event(
             "request_crashed",
@@ -149,18 +151,18 @@
 
     def _describe(
         self,
-        flight: Flight,
+        flight: RequestContext,
         status: int,
         backend: BackendRecord | None,
         **fields: object,
     ) -> dict[str, object]:
         moment = now()
-        if flight.lost:
+        if flight.lost_connections:
             fields.setdefault("fingerprint", flight.fingerprint)
-        if flight.taken_at_stop is not None:
-            fields.setdefault("until_end_ms", flight.taken_at_stop.until_end_ms)
-            fields.setdefault("usual_ms", flight.taken_at_stop.usual_ms)
-            fields.setdefault("longest_ms", flight.taken_at_stop.longest_ms)
+        if flight.admitted_at_stop is not None:
+            fields.setdefault("until_end_ms", flight.admitted_at_stop.until_end_ms)
+            fields.setdefault("usual_ms", flight.admitted_at_stop.usual_ms)
+            fields.setdefault("longest_ms", flight.admitted_at_stop.longest_ms)
         described: dict[str, object] = {
             "request": flight.request.envelope.request_id,
             "status": status,
@@ -175,10 +177,10 @@
             "kept": flight.kept_tokens if flight.kept_tokens is not None else "",
             "hint": flight.request.envelope.expected_tokens,
             "objective_ms": round(flight.route.objective_s * 1000),
-            "first_ms": round(flight.first_s * 1000),
+            "first_ms": round(flight.head_s * 1000),
             "attempts": flight.attempts,
             "runs": flight.runs,
-            "trail": ",".join(flight.trail),
+            "trail": ",".join(flight.timeline),
             "took_ms": round((moment - flight.started_at) * 1000),
             "left_ms": round((flight.deadline - moment) * 1000),
         }
--- a/src/baobabthread/instance/answers.py
+++ b/src/baobabthread/instance/responses.py
@@ -5,14 +5,14 @@
 import msgspec
 
 from baobabthread.core.limits.limits import Outcome
-from baobabthread.instance.attempts import Again, Attempt, Head
+from baobabthread.instance.attempts import Attempt, ResponseHead, RetryRequested
 from baobabthread.instance.clock import now
-from baobabthread.instance.connections import BrokenError
+from baobabthread.instance.connections import IncompleteResponseError
+from baobabthread.instance.context import RequestContext
 from baobabthread.instance.estimates import Estimates
 from baobabthread.instance.events import EventCutter
-from baobabthread.instance.flight import Flight
 from baobabthread.instance.requestlog import RequestLog
-from baobabthread.instance.selection import Prospect, Selection
+from baobabthread.instance.selection import Selection, WaitEstimate
 from baobabthread.instance.services import ServiceState
 from baobabthread.instance.wire import WireFormat
 from baobabthread.routing.mechanisms import Switches
@@ -21,14 +21,14 @@
 LENGTH_MARGIN = 1.5
 """Times the expected length of a larger model's answer that must be left: callers'
 estimates are often far off, and an answer that is cut at its deadline is worth none."""
-MAX_ANSWER_BYTES = 8_000_000
+MAX_RESPONSE_BYTES = 8_000_000
 """Largest answer that is held until it is whole."""
 
 
-class Answers:
+class ResponseForwarder:
     """Pass answers on, whole or event by event."""
 
-    __slots__ = ("_estimates", "_log", "_models", "_off", "_selection", "_wire")
+    __slots__ = ("_estimates", "_log", "_models", "_disabled", "_selection", "_wire")
 
     def __init__(
         self,
@@ -37,18 +37,22 @@
         estimates: Estimates,
         models: ModelChoice,
         selection: Selection,
-        off: Switches,
+        disabled: Switches,
         log: RequestLog,
     ) -> None:
         self._wire = wire
         self._estimates = estimates
         self._models = models
-        self._off = off
+        self._disabled = disabled
         self._selection = selection
         self._log = log
 
-    async def take(
-        self, flight: Flight, state: ServiceState, attempt: Attempt, head: Head
+    async def handle(
+        self,
+        flight: RequestContext,
+        state: ServiceState,
+        attempt: Attempt,
+        head: ResponseHead,
     ) -> None:
         """Pass an answer on.
 
@@ -56,44 +60,54 @@
         """
         if not flight.reply.has_begun:
             if head.is_failure:
-                await self._take_failure(flight, state, attempt, head)
+                await self._handle_failure(flight, state, attempt, head)
                 return
             if head.is_success:
                 flight.confidence = head.marks.confidence
-                await self._judge_model(flight, state, attempt, head)
+                await self._escalate_if_unsure(flight, state, attempt, head)
         elif not head.is_success:
-            raise BrokenError(f"status {head.status} instead of the rest of a stream")
+            raise IncompleteResponseError(
+                f"status {head.status} instead of the rest of a stream"
+            )
         if flight.route.is_stream and head.is_success:
-            await self._relay(flight, attempt, head)
+            await self._stream(flight, attempt, head)
             return
-        body = await attempt.read_whole(MAX_ANSWER_BYTES)
+        body = await attempt.read_body(MAX_RESPONSE_BYTES)
         if head.is_success:
-            self._estimates.observe_whole(flight, now() - attempt.sent_at)
-        await self._pass_on(flight, attempt, head, body)
+            self._estimates.observe_response(flight, now() - attempt.sent_at)
+        await self._forward(flight, attempt, head, body)
 
-    async def _take_failure(
-        self, flight: Flight, state: ServiceState, attempt: Attempt, head: Head
+    async def _handle_failure(
+        self,
+        flight: RequestContext,
+        state: ServiceState,
+        attempt: Attempt,
+        head: ResponseHead,
     ) -> None:
         """Try an answer that says failure elsewhere, or pass it on as it is."""
-        body = await attempt.read_whole(MAX_ANSWER_BYTES)
-        flight.trail.append(f"{attempt.link.record.id}:status {head.status}")
-        may_repeat = flight.route.may_repeat and flight.may_run_again
+        body = await attempt.read_body(MAX_RESPONSE_BYTES)
+        flight.timeline.append(f"{attempt.link.record.id}:status {head.status}")
+        may_repeat = flight.route.may_repeat and flight.has_attempts_left
         # With no other server left the caller is better off with this one's own words.
-        has_other = may_repeat and self._selection.has_other(flight, attempt.link)
+        has_other = may_repeat and self._selection.has_alternative(flight, attempt.link)
         if has_other and state.spend():
             flight.excluded.add(attempt.link.name)
-            raise Again(Outcome.FAILED)
-        await self._pass_on(flight, attempt, head, body)
+            raise RetryRequested(Outcome.FAILED)
+        await self._forward(flight, attempt, head, body)
 
-    async def _pass_on(
-        self, flight: Flight, attempt: Attempt, head: Head, body: bytes
+    async def _forward(
+        self, flight: RequestContext, attempt: Attempt, head: ResponseHead, body: bytes
     ) -> None:
         headers = self._wire.filter_response_headers(head.response.raw_headers)
         self._log.record_response(flight, attempt.link.record, head.status)
-        await flight.reply.answer(head.status, headers, body)
+        await flight.reply.respond(head.status, headers, body)
 
-    async def _judge_model(
-        self, flight: Flight, state: ServiceState, attempt: Attempt, head: Head
+    async def _escalate_if_unsure(
+        self,
+        flight: RequestContext,
+        state: ServiceState,
+        attempt: Attempt,
+        head: ResponseHead,
     ) -> None:
         """Drop an answer that its own model doubts, and ask a larger one."""
         if flight.model is None:
@@ -103,35 +117,35 @@
             index=flight.model,
             confidence=head.marks.confidence,
         )
-        if self._models.escalate(question) is None or not flight.may_run_again:
+        if self._models.escalate(question) is None or not flight.has_attempts_left:
             return
-        question = await self._weigh_time(flight, head, question)
+        question = await self._estimate_escalation(flight, head, question)
         larger = self._models.escalate(question)
         reason = self._find_obstacle(flight, state, larger)
         if larger is None or reason is not None:
             described = (
                 f"kept {head.marks.confidence:.2f} {reason} {question.describe()}"
             )
-            flight.trail.append(f"{attempt.link.record.id}:{described}")
+            flight.timeline.append(f"{attempt.link.record.id}:{described}")
             return
         doubt = f"unsure {head.marks.confidence:.2f}"
-        flight.trail.append(f"{attempt.link.record.id}:{doubt}")
+        flight.timeline.append(f"{attempt.link.record.id}:{doubt}")
         flight.model = larger
-        raise Again(Outcome.CANCELLED)
+        raise RetryRequested(Outcome.CANCELLED)
 
     def _find_obstacle(
-        self, flight: Flight, state: ServiceState, larger: int | None
+        self, flight: RequestContext, state: ServiceState, larger: int | None
     ) -> str | None:
         """Return why no larger model is asked; take a repeat where one is."""
         if larger is None:
             return "price"
-        expected_s = self._estimates.whole_s(flight, flight.route.models[larger])
+        expected_s = self._estimates.total_s(flight, flight.route.models[larger])
         if now() + LENGTH_MARGIN * expected_s > flight.deadline:
             return "deadline"
         return None if state.spend() else "budget"
 
-    async def _weigh_time(
-        self, flight: Flight, head: Head, question: ModelQuestion
+    async def _estimate_escalation(
+        self, flight: RequestContext, head: ResponseHead, question: ModelQuestion
     ) -> ModelQuestion:
         """Add what a larger model's answer would wait for and leave of the objective.
 
@@ -139,48 +153,52 @@
         attempt did beyond its own reading.
         """
         largest = flight.route.models[-1]
-        prospect = await self._selection.foresee(flight, largest)
+        prospect = await self._selection.estimate_wait(flight, largest)
         if prospect is None:
             waited_s = max(0.0, head.latency_s - self._estimates.reading_s(flight))
             reading_s = self._estimates.reading_s(flight, largest)
-            prospect = Prospect(wait_s=waited_s, reading_s=reading_s)
+            prospect = WaitEstimate(wait_s=waited_s, reading_s=reading_s)
         passed_s = now() - flight.started_at
         objective_s = max(flight.route.objective_s, 1e-3)
         first_s = prospect.wait_s + prospect.reading_s
         return msgspec.structs.replace(
             question,
             spare=1.0 - (passed_s + first_s) / objective_s,
-            prices=self._estimates.price_models(
-                flight, prospect.wait_s, prospect.reading_s, self._off
+            prices=self._estimates.estimate_costs(
+                flight, prospect.wait_s, prospect.reading_s, self._disabled
             ),
         )
 
-    async def _relay(self, flight: Flight, attempt: Attempt, head: Head) -> None:
+    async def _stream(
+        self, flight: RequestContext, attempt: Attempt, head: ResponseHead
+    ) -> None:
         """Pass a stream on event by event."""
         reply = flight.reply
         if not reply.has_begun:
             headers = self._wire.filter_response_headers(head.response.raw_headers)
-            flight.first_s = now() - flight.started_at
+            flight.head_s = now() - flight.started_at
             await reply.begin(head.status, headers)
         cutter = EventCutter(passed=flight.last_event)
         first_at = now()
-        while chunk := await self._read_event(flight, attempt):
+        while chunk := await self._read_stream_chunk(flight, attempt):
             events = cutter.feed(chunk)
             if events.data:
                 await reply.write(events.data)
             if events.last_id is not None:
                 flight.last_event = events.last_id
         if not cutter.is_clean:
-            raise BrokenError("stream ended within an event")
+            raise IncompleteResponseError("stream ended within an event")
         attempt.finish()
         self._estimates.observe_stream(flight, head.latency_s, now() - first_at)
         self._log.record_response(flight, attempt.link.record, head.status)
         await reply.finish()
 
-    async def _read_event(self, flight: Flight, attempt: Attempt) -> bytes:
+    async def _read_stream_chunk(
+        self, flight: RequestContext, attempt: Attempt
+    ) -> bytes:
         """Return the next bytes of a stream, and learn how long they took."""
         began = now()
         try:
-            return await attempt.read_some()
+            return await attempt.read_chunk()
         finally:
-            self._estimates.observe_pause(flight, now() - began)
+            self._estimates.observe_event_gap(flight, now() - began)
--- a/src/baobabthread/instance/restrictions.py
+++ b/src/baobabthread/instance/restrictions.py
@@ -15,7 +15,7 @@
 from baobabthread.routing.homes import Areas, Homes
 from baobabthread.routing.knowledge import Knowledge
 
-NONE: frozenset[str] = frozenset()
+NO_BACKENDS: frozenset[str] = frozenset()
 
 
 class Restrictions:
@@ -23,51 +23,51 @@
 
     __slots__ = (
         "_abroad",
-        "_areas",
+        "_regions",
         "_bounds",
-        "_checked",
+        "_checked_version",
         "_cold",
         "_evacuated",
-        "_knowledge",
+        "_replica",
         "_population",
         "_windows",
     )
 
     def __init__(
-        self, *, me: str, knowledge: Knowledge, areas: Areas, bounds: RoutingBounds
+        self, *, me: str, replica: Knowledge, regions: Areas, bounds: RoutingBounds
     ) -> None:
-        self._knowledge = knowledge
-        self._areas = areas
+        self._replica = replica
+        self._regions = regions
         self._bounds = bounds
         self._population = Population()
         self._windows = SendWindows(me=me)
-        self._abroad: dict[frozenset[str], frozenset[str]] = {}
+        self._outside_regions: dict[frozenset[str], frozenset[str]] = {}
         self._cold: dict[str, ServicePlan] = {}
         """Cold starts, with the service that bounds what they get."""
-        self._evacuated: frozenset[str] = NONE
-        self._checked = -1
+        self._evacuated: frozenset[str] = NO_BACKENDS
+        self._checked_version = -1
         """Version of the configuration whose homes were checked."""
 
-    def note_members(self, names: Iterable[str], now: float) -> None:
+    def update_members(self, names: Iterable[str], now: float) -> None:
         """Note which instances are known, in any state."""
         self._population.note(names, now)
 
     def refresh(self, now: float) -> None:
         """Take over what is known of evacuations, homes and cold servers."""
-        self._abroad.clear()
-        self._check_homes()
-        self._take_evacuations(now)
-        plans = self._plans()
+        self._outside_regions.clear()
+        self._check_allowed_regions()
+        self._apply_evacuations(now)
+        plans = self._warm_up_plans()
         self._cold = {
             record.incarnation: plans[record.service]
-            for record in self._knowledge.backends.values()
-            if self._knowledge.cold.left_s(record.incarnation, now)
+            for record in self._replica.backends.values()
+            if self._replica.cold.left_s(record.incarnation, now)
             and record.service in plans
         }
 
     def drop_warm(self, now: float) -> list[str]:
         """Forget the servers that are warm by now and return them."""
-        warm = self._knowledge.cold.drop_warm(now)
+        warm = self._replica.cold.drop_warm(now)
         for name in warm:
             self._cold.pop(name, None)
             self._windows.forget(name)
@@ -81,62 +81,66 @@
         """Tell whether a server bears only few requests now."""
         return record.incarnation in self._cold
 
-    def list_barred(self, homes: Homes, now: float) -> frozenset[str]:
+    def list_restricted(self, allowed_regions: Homes, now: float) -> frozenset[str]:
         """Return the starts that must not get a request with such homes now."""
         if not self._cold:
-            return self._list_abroad(homes)
-        closed = [name for name in self._cold if not self._is_open(name, now)]
-        return self._list_abroad(homes).union(closed)
+            return self._list_outside_regions(allowed_regions)
+        closed = [name for name in self._cold if not self._is_window_open(name, now)]
+        return self._list_outside_regions(allowed_regions).union(closed)
 
-    def note_sent(self, name: str, now: float) -> None:
+    def record_sent(self, name: str, now: float) -> None:
         """Count an attempt that goes to a server."""
         if name in self._cold:
-            self._windows.use(name, self._gap_s(name, now), now)
+            self._windows.use(name, self._send_interval_s(name, now), now)
 
-    def explain(self, service: str, homes: Homes) -> str:
+    def explain_unavailable(self, service: str, allowed_regions: Homes) -> str:
         """Return why no server of a service is left for a request."""
         records = [
             record
-            for record in self._knowledge.backends.values()
+            for record in self._replica.backends.values()
             if record.service == service and not record.leaving
         ]
         open_ones = [record for record in records if not self.is_evacuated(record)]
         if records and not open_ones:
             return "backends_evacuated"
-        near = [r for r in open_ones if self._areas.may_serve(homes, r.failure_domain)]
+        near = [
+            r
+            for r in open_ones
+            if self._regions.may_serve(allowed_regions, r.failure_domain)
+        ]
         if open_ones and not near:
             return "no_backend_at_home"
         if near and all(record.incarnation in self._cold for record in near):
             return "backends_cold"
         return "no_backend"
 
-    def _plans(self) -> dict[str, ServicePlan]:
-        table = self._knowledge.table
+    def _warm_up_plans(self) -> dict[str, ServicePlan]:
+        table = self._replica.table
         plans = table.services if table is not None else {}
         return {name: plan for name, plan in plans.items() if plan.cold_rate > 0.0}
 
-    def _is_open(self, name: str, now: float) -> bool:
-        return self._windows.is_open(name, self._gap_s(name, now), now)
+    def _is_window_open(self, name: str, now: float) -> bool:
+        return self._windows.is_open(name, self._send_interval_s(name, now), now)
 
-    def _gap_s(self, name: str, now: float) -> float:
+    def _send_interval_s(self, name: str, now: float) -> float:
         bounds = self._bounds
         most = self._cold[name].cold_rate * bounds.cold_factor + bounds.cold_extra
         return choose_gap_s(most=most, members=self._population.count(now))
 
-    def _list_abroad(self, homes: Homes) -> frozenset[str]:
-        if homes is None:
-            return NONE
-        found = self._abroad.get(homes)
+    def _list_outside_regions(self, allowed_regions: Homes) -> frozenset[str]:
+        if allowed_regions is None:
+            return NO_BACKENDS
+        found = self._outside_regions.get(allowed_regions)
         if found is None:
-            found = self._abroad[homes] = frozenset(
+            found = self._outside_regions[allowed_regions] = frozenset(
                 record.incarnation
-                for record in self._knowledge.backends.values()
-                if not self._areas.may_serve(homes, record.failure_domain)
+                for record in self._replica.backends.values()
+                if not self._regions.may_serve(allowed_regions, record.failure_domain)
             )
         return found
 
-    def _take_evacuations(self, now: float) -> None:
-        evacuated = self._knowledge.evacuations.domains
+    def _apply_evacuations(self, now: float) -> None:
+        evacuated = self._replica.evacuations.domains
         if evacuated == self._evacuated:
             return
         ended = self._evacuated - evacuated
@@ -144,26 +148,26 @@
         log_event(
             "evacuations_in_force",
             failure_domains=",".join(sorted(evacuated)),
-            unknown=",".join(self._areas.list_unknown_domains(evacuated)),
+            unknown=",".join(self._regions.list_unknown_domains(evacuated)),
         )
         # Failure: a domain is open again before its servers' records say that they
         # were started anew meanwhile. Idle as they are, they would get all that comes.
-        plans = self._plans()
-        for record in self._knowledge.backends.values():
+        plans = self._warm_up_plans()
+        for record in self._replica.backends.values():
             plan = plans.get(record.service)
             if record.failure_domain in ended and plan is not None:
-                self._knowledge.cold.note(record.incarnation, plan.cold_s, now)
+                self._replica.cold.note(record.incarnation, plan.cold_s, now)
 
-    def _check_homes(self) -> None:
-        table = self._knowledge.table
-        if table is None or table.configuration.version == self._checked:
+    def _check_allowed_regions(self) -> None:
+        table = self._replica.table
+        if table is None or table.configuration.version == self._checked_version:
             return
-        self._checked = table.configuration.version
-        unknown = self._areas.list_unknown_homes(table.configuration)
+        self._checked_version = table.configuration.version
+        unknown = self._regions.list_unknown_homes(table.configuration)
         if unknown:
             log_event(
                 "homes_unknown",
                 level="warning",
                 areas=",".join(unknown),
-                version=self._checked,
+                version=self._checked_version,
             )
--- a/src/baobabthread/instance/selection.py
+++ b/src/baobabthread/instance/selection.py
@@ -10,8 +10,8 @@
 from baobabthread.core.backends.loads import Load, Part
 from baobabthread.instance.backends import BackendLink, Backends, hash_prefix
 from baobabthread.instance.clock import now
+from baobabthread.instance.context import RequestContext
 from baobabthread.instance.estimates import Estimates
-from baobabthread.instance.flight import Flight
 from baobabthread.instance.placement import PlacedPrompt, Placement
 from baobabthread.routing.knowledge import Knowledge
 from baobabthread.routing.mechanisms import Mechanism, Switches
@@ -25,7 +25,7 @@
 which costs a wrong guess of the reading."""
 
 
-class Prospect(msgspec.Struct, frozen=True, kw_only=True):
+class WaitEstimate(msgspec.Struct, frozen=True, kw_only=True):
     """Tell what an attempt with another model would meet at the best engine."""
 
     wait_s: float
@@ -35,44 +35,48 @@
 class Selection:
     """Choose the version and the backend server for each attempt."""
 
-    __slots__ = ("_backends", "_estimates", "_knowledge", "_off", "_placement")
+    __slots__ = ("_backends", "_estimates", "_replica", "_disabled", "_placement")
 
     def __init__(
         self,
         *,
-        knowledge: Knowledge,
+        replica: Knowledge,
         backends: Backends,
         estimates: Estimates,
         placement: Placement,
-        off: Switches,
+        disabled: Switches,
     ) -> None:
-        self._knowledge = knowledge
+        self._replica = replica
         self._backends = backends
         self._estimates = estimates
         self._placement = placement
-        self._off = off
+        self._disabled = disabled
 
-    async def select(self, flight: Flight, plan: VersionPlan) -> BackendLink | None:
+    async def select(
+        self, flight: RequestContext, plan: VersionPlan
+    ) -> BackendLink | None:
         """Return the backend server for the next attempt, if one is left."""
         link = await self._select(flight, plan)
-        if link is None and flight.is_on_trial and not flight.is_free:
+        if link is None and flight.is_canary and not flight.is_sessionless:
             # A session stays on the new version, also beyond the servers on trial.
-            flight.is_spread = True
+            flight.may_use_non_canaries = True
             link = await self._select(flight, plan)
-        if link is None and flight.is_on_trial:
+        if link is None and flight.is_canary:
             # The few servers on trial are no reason to refuse what others can take.
-            flight.may_use_new = False
+            flight.may_use_new_version = False
             link = await self._select(flight, plan)
             flight.version_reason = VersionReason.NO_SERVER
         return link
 
-    async def _select(self, flight: Flight, plan: VersionPlan) -> BackendLink | None:
+    async def _select(
+        self, flight: RequestContext, plan: VersionPlan
+    ) -> BackendLink | None:
         flight.kept_tokens = None
         flight.version = self.choose_version(flight, plan)
-        flight.is_on_trial = bool(flight.on_new) and plan.is_on_trial
-        flight.sidelined = self._sideline(flight, plan)
+        flight.is_canary = bool(flight.on_new_version) and plan.is_on_trial
+        flight.non_canaries = self._find_non_canaries(flight, plan)
         names = self._list_candidates(flight)
-        loads = await self._ask(flight, flight.model_name, names)
+        loads = await self._query_loads(flight, flight.model_name, names)
         link = self._pick(flight, flight.excluded, loads, names, version=flight.version)
         if link is None and names:
             # Cold ones among them may have been used up while their loads were asked.
@@ -81,22 +85,26 @@
             flight.kept_tokens = loads[link.name].kept_tokens
         return link
 
-    def explain_none(self, flight: Flight) -> str:
+    def explain_unavailable(self, flight: RequestContext) -> str:
         """Return why no backend server is left for a request."""
-        return self._backends.explain_none(flight.service, flight.homes)
+        return self._backends.explain_unavailable(
+            flight.service, flight.allowed_regions
+        )
 
-    def has_other(self, flight: Flight, link: BackendLink) -> bool:
+    def has_alternative(self, flight: RequestContext, link: BackendLink) -> bool:
         """Tell whether another backend server could take the request."""
         excluded = flight.excluded | {link.name}
         # What fails on trial is tried on the version in force.
-        version = None if flight.is_on_trial else flight.version
+        version = None if flight.is_canary else flight.version
         return self._pick(flight, excluded, {}, [], version=version) is not None
 
-    async def foresee(self, flight: Flight, model: str) -> Prospect | None:
+    async def estimate_wait(
+        self, flight: RequestContext, model: str
+    ) -> WaitEstimate | None:
         """Return what a model's answer would wait for; nothing if nobody knows."""
-        loads = await self._ask(flight, model, self._list_candidates(flight))
+        loads = await self._query_loads(flight, model, self._list_candidates(flight))
         prospects = [
-            Prospect(
+            WaitEstimate(
                 wait_s=load.wait_s,
                 reading_s=self._estimates.reading_s(flight, model, load.kept_tokens),
             )
@@ -104,53 +112,61 @@
         ]
         return min(prospects, key=lambda p: p.wait_s + p.reading_s, default=None)
 
-    def place(self, flight: Flight, link: BackendLink) -> PlacedPrompt | None:
+    def place(self, flight: RequestContext, link: BackendLink) -> PlacedPrompt | None:
         """Tell of the prompt that an engine is to read; nothing at a plain service."""
-        if not flight.route.is_stream or Mechanism.LOADS in self._off:
+        if not flight.route.is_stream or Mechanism.LOADS in self._disabled:
             return None
         return self._placement.place(
             link.name,
             reading_s=self._estimates.reading_s(flight),
             lasts_s=flight.deadline - now(),
             parts=_list_parts(flight, flight.model_name),
-            memory_tokens=self._find_memory(flight.service),
+            memory_tokens=self._find_memory_tokens(flight.service),
         )
 
-    def _find_memory(self, service: str) -> int:
-        table = self._knowledge.table
+    def _find_memory_tokens(self, service: str) -> int:
+        table = self._replica.table
         plan = table.services.get(service) if table is not None else None
         return plan.memory_tokens if plan is not None else 0
 
-    def _list_candidates(self, flight: Flight) -> list[str]:
+    def _list_candidates(self, flight: RequestContext) -> list[str]:
         """Return the engines to choose among; none where all are looked at alike."""
-        if not flight.route.is_stream or Mechanism.LOADS in self._off:
+        if not flight.route.is_stream or Mechanism.LOADS in self._disabled:
             return []
         return self._backends.list_candidates(
             flight.service,
             version=flight.version,
-            prefix_key=self._key(flight),
-            exclude=flight.excluded | flight.sidelined,
-            homes=flight.homes,
+            prefix_key=self._hash_prefix(flight),
+            exclude=flight.excluded | flight.non_canaries,
+            allowed_regions=flight.allowed_regions,
         )
 
-    def _sideline(self, flight: Flight, plan: VersionPlan) -> frozenset[str]:
+    def _find_non_canaries(
+        self, flight: RequestContext, plan: VersionPlan
+    ) -> frozenset[str]:
         """Return the servers of a version on trial that take no part in it."""
-        if not flight.is_on_trial or flight.version is None or flight.is_spread:
+        if (
+            not flight.is_canary
+            or flight.version is None
+            or flight.may_use_non_canaries
+        ):
             return frozenset()
         bursts = plan.bursts
-        canaries = bursts.canaries if flight.is_free else bursts.steady_canaries
-        return self._backends.list_sidelined(flight.service, flight.version, canaries)
+        canaries = bursts.canaries if flight.is_sessionless else bursts.steady_canaries
+        return self._backends.list_non_canaries(
+            flight.service, flight.version, canaries
+        )
 
-    async def _ask(
-        self, flight: Flight, model: str | None, engines: list[str]
+    async def _query_loads(
+        self, flight: RequestContext, model: str | None, engines: list[str]
     ) -> Mapping[str, Load]:
         if not engines:
             return {}
-        return await self._placement.ask(engines, _list_parts(flight, model))
+        return await self._placement.query_loads(engines, _list_parts(flight, model))
 
     def _pick(
         self,
-        flight: Flight,
+        flight: RequestContext,
         excluded: set[str],
         loads: Mapping[str, Load],
         candidates: list[str],
@@ -160,9 +176,9 @@
         return self._backends.pick(
             flight.service,
             version=version,
-            prefix_key=self._key(flight),
-            exclude=excluded | flight.sidelined,
-            homes=flight.homes,
+            prefix_key=self._hash_prefix(flight),
+            exclude=excluded | flight.non_canaries,
+            allowed_regions=flight.allowed_regions,
             may_probe=flight.route.may_repeat and flight.attempts == 0,
             shared_s=self._estimates.shared_s(flight),
             shared_tokens=flight.request.envelope.shared_tokens,
@@ -170,13 +186,13 @@
             candidates=candidates,
         )
 
-    def _key(self, flight: Flight) -> int | None:
-        key = flight.prompt_key
-        if key is None or Mechanism.HOMES in self._off:
+    def _hash_prefix(self, flight: RequestContext) -> int | None:
+        key = flight.prefix
+        if key is None or Mechanism.HOMES in self._disabled:
             return None
         return hash_prefix(key)
 
-    def choose_version(self, flight: Flight, plan: VersionPlan) -> str | None:
+    def choose_version(self, flight: RequestContext, plan: VersionPlan) -> str | None:
         """Return the version that must run the request, or None for any."""
         flight.release_exposure()
         flight.exposure = plan.exposure
@@ -186,19 +202,19 @@
         if order is None:
             # A stream that begins now may break after an order has come: resumed on the
             # new version, it would be joined from two, and lost where that one is bad.
-            flight.on_new = False
+            flight.on_new_version = False
             return plan.lineage.find_base(listed) if len(listed) > 1 else None
-        wanted = flight.may_use_new and _wants_new(flight, plan)
+        wanted = flight.may_use_new_version and _wants_new_version(flight, plan)
         # What began on the old version goes on there while it lives.
-        may_change = flight.on_new is None or flight.runs == 0 or plan.is_final
+        may_change = flight.on_new_version is None or flight.runs == 0 or plan.is_final
         if may_change or not wanted:
-            flight.on_new = wanted
-        flight.version_reason = _explain(flight, plan, wanted=wanted)
-        if flight.on_new and order.target not in listed:
+            flight.on_new_version = wanted
+        flight.version_reason = _explain_version(flight, plan, wanted=wanted)
+        if flight.on_new_version and order.target not in listed:
             flight.version_reason = VersionReason.NO_SERVER
-        elif flight.on_new and _expose(flight, plan):
+        elif flight.on_new_version and _reserve_exposure(flight, plan):
             return order.target
-        flight.on_new = False
+        flight.on_new_version = False
         base = plan.lineage.find_base(listed)
         if base is None and order.target in listed and not plan.is_reverted:
             return None
@@ -207,40 +223,42 @@
         return base or plan.lineage.base or NO_VERSION
 
 
-def _wants_new(flight: Flight, plan: VersionPlan) -> bool:
+def _wants_new_version(flight: RequestContext, plan: VersionPlan) -> bool:
     """Tell whether a request is one for the new version, if servers are there."""
     moment = now()
-    if flight.is_free:
+    if flight.is_sessionless:
         return plan.choose_free(flight.session, moment)
     if plan.is_running:
-        return flight.session_on_new and plan.may_stay(moment)
+        return flight.session_on_new_version and plan.may_stay(moment)
     return not plan.is_reverted
 
 
-def _explain(flight: Flight, plan: VersionPlan, *, wanted: bool) -> VersionReason:
+def _explain_version(
+    flight: RequestContext, plan: VersionPlan, *, wanted: bool
+) -> VersionReason:
     """Return why a request is to go to a version, before servers are looked at."""
     if wanted:
-        if not flight.on_new:
+        if not flight.on_new_version:
             return VersionReason.BEGAN_OLD
         is_over = plan.is_final or not plan.is_running
         return VersionReason.TAKEN_OVER if is_over else VersionReason.ON_TRIAL
     if plan.is_reverted or plan.trial.alarm is not None:
         return VersionReason.TAKEN_BACK
-    if flight.session_on_new:
+    if flight.session_on_new_version:
         return VersionReason.NO_PERMIT
     if not plan.may_have_moved(flight.session):
         return VersionReason.NOT_ON_TRIAL
     return VersionReason.KEPT
 
 
-def _expose(flight: Flight, plan: VersionPlan) -> bool:
+def _reserve_exposure(flight: RequestContext, plan: VersionPlan) -> bool:
     """Take an attempt at the new version out of what it may get."""
-    session = None if flight.is_free else flight.session
-    flight.holds_exposure = plan.try_expose(session, now())
-    return flight.holds_exposure
+    session = None if flight.is_sessionless else flight.session
+    flight.has_reserved_exposure = plan.try_expose(session, now())
+    return flight.has_reserved_exposure
 
 
-def _list_parts(flight: Flight, model: str | None) -> tuple[Part, ...]:
+def _list_parts(flight: RequestContext, model: str | None) -> tuple[Part, ...]:
     """Return the shared parts of a prompt as a model keeps them.
 
     What is kept of a part holds for one model and only behind the same parts.
--- a/src/baobabthread/instance/turns.py
+++ b/src/baobabthread/instance/turns.py
@@ -7,9 +7,9 @@
 
 from baobabthread.core.limits.fairness import Waiting
 from baobabthread.instance.clock import now
+from baobabthread.instance.context import RequestContext
 from baobabthread.instance.endings import SOON_S, Endings
 from baobabthread.instance.estimates import Estimates
-from baobabthread.instance.flight import Flight
 from baobabthread.instance.requestlog import RequestLog
 from baobabthread.instance.services import Services, ServiceState
 from baobabthread.routing.queues import classify
@@ -56,7 +56,7 @@
                 self._settle(waiting.request_id, refused=True)
             self._pump(state)
 
-    async def wait(self, flight: Flight, state: ServiceState) -> str | None:
+    async def wait(self, flight: RequestContext, state: ServiceState) -> str | None:
         """Queue a request; return its ticket when its turn has come."""
         self._sequence += 1
         ticket = str(self._sequence)
@@ -78,19 +78,19 @@
             return None
         return ticket
 
-    def finish(self, ticket: str, flight: Flight, state: ServiceState) -> None:
+    def finish(self, ticket: str, flight: RequestContext, state: ServiceState) -> None:
         """Give a place back and start who is next."""
-        state.queue.finished(ticket, flight.work, now())
+        state.queue.finished(ticket, flight.work_ms, now())
         self._pump(state)
 
-    def _describe(self, flight: Flight, ticket: str) -> Waiting:
-        flight.work = self._estimates.work_ms(flight)
+    def _describe(self, flight: RequestContext, ticket: str) -> Waiting:
+        flight.work_ms = self._estimates.work_ms(flight)
         return Waiting(
             request_id=ticket,
             account=flight.account.name if flight.account is not None else "",
             weight=1.0,
-            priority=classify(flight.rank),
-            tokens=flight.work,
+            priority=classify(flight.priority),
+            tokens=flight.work_ms,
             deadline=flight.deadline,
             arrived=now(),
             service_s=max(LEAST_LEFT_S, self._estimates.first_s(flight)),
--- a/src/baobabthread/platform/store.py
+++ b/src/baobabthread/platform/store.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from baobabthread.instance.connections import (
-    BrokenError,
     ConnectionPool,
+    IncompleteResponseError,
     NotSentError,
     Response,
     encode_head,
@@ -157,7 +157,7 @@
             answer = await _read_body(response)
             response.finish()
             connection = None
-        except (BrokenError, NotSentError, TimeoutError) as error:
+        except (IncompleteResponseError, NotSentError, TimeoutError) as error:
             raise StoreError(f"{path}: {error or 'no answer in time'}") from error
         finally:
             if connection is not None:
@@ -179,13 +179,13 @@
             # `wait_for` loses a cancellation that meets the answer: the reader goes on
             # for good, and a process that was told to stop never ends.
             async with asyncio.timeout(STALL_TIMEOUT_S):
-                chunk = await response.read_some()
+                chunk = await response.read_chunk()
             if not chunk:
                 break
             chunks.append(chunk)
             size += len(chunk)
             if size > MAX_RESPONSE_BYTES:
-                raise BrokenError("answer too large")
+                raise IncompleteResponseError("answer too large")
     return b"".join(chunks)
 
 
--- a/tests/bench/test_fleet.py
+++ b/tests/bench/test_fleet.py
@@ -172,7 +172,7 @@
             fresh=[fingerprint],
             older=[],
         )
-        member.link.quarantine.report(crash)
+        member.link.quarantine.report_crash(crash)
 
 
 def holds(member: Any) -> bool:
--- a/tests/instance/test_heldrecords.py
+++ b/tests/instance/test_heldrecords.py
@@ -9,7 +9,7 @@
 
 from baobabthread.instance.clock import now
 from baobabthread.instance.heldrecords import HeldRecords
-from baobabthread.instance.quarantine import QuarantineDesk
+from baobabthread.instance.quarantine import QuarantineCoordinator
 from baobabthread.instance.store import Append
 from baobabthread.routing.quarantine import HOLD_S, RELAPSE_S, Held
 
@@ -22,13 +22,13 @@
     is_reader = True
 
 
-def make_records(store: Any) -> tuple[HeldRecords, QuarantineDesk]:
-    desk = QuarantineDesk(me="a", tell=lambda to, word: None)
+def make_records(store: Any) -> tuple[HeldRecords, QuarantineCoordinator]:
+    desk = QuarantineCoordinator(me="a", send=lambda to, word: None)
     relay: Any = Reader()
     return HeldRecords(desk=desk, relay=relay, store=store, formats=Formats()), desk
 
 
-def hold(desk: QuarantineDesk) -> None:
+def hold(desk: QuarantineCoordinator) -> None:
     desk.quarantine.hold("f1", "s", (), now())
     desk.unwritten["f1"] = now()
 
@@ -62,7 +62,7 @@
         again, other = make_records(store)
         await again._step()
         assert other.find("f1") is not None
-        assert other.knows_all
+        assert other.has_complete_list
 
     run_virtually(case())
 
@@ -73,7 +73,7 @@
         records, desk = make_records(store)
         hold(desk)
         await records._step()
-        desk.clear("f1")
+        desk.release("f1")
         await records._step()
         again, other = make_records(store)
         await again._step()
--- a/tests/instance/test_messages.py
+++ b/tests/instance/test_messages.py
@@ -6,8 +6,13 @@
 import pytest
 
 from baobabthread.adapters.codec import PeerCodec, expand
-from baobabthread.instance.placement import AskLoads, LoadsAre, TellEnded, TellPlaced
-from baobabthread.instance.quarantine import CompareHeld, HeldAre
+from baobabthread.instance.placement import (
+    LoadsReply,
+    LoadsRequest,
+    PromptEnded,
+    PromptPlaced,
+)
+from baobabthread.instance.quarantine import QuarantineDigest, QuarantineEntries
 from baobabthread.instance.readiness import StaleWord
 from baobabthread.instance.relaying import AskKnowledge, KnowledgeIs
 from baobabthread.instance.sessions import (
@@ -23,19 +28,21 @@
 from baobabthread.routing.snapshots import Snapshot
 
 MESSAGES: dict[type[msgspec.Struct], bytes] = {
-    AskLoads: (b'{"type":"loads.ask","sequence":1,"engines":["s2"],"parts":[[3,4]]}'),
-    LoadsAre: (b'{"type":"loads.are","sequence":1,"loads":[[2.5,3]]}'),
-    TellPlaced: (
+    LoadsRequest: (
+        b'{"type":"loads.ask","sequence":1,"engines":["s2"],"parts":[[3,4]]}'
+    ),
+    LoadsReply: (b'{"type":"loads.are","sequence":1,"loads":[[2.5,3]]}'),
+    PromptPlaced: (
         b'{"type":"loads.placed","engine":"s1","placed":{"number":2,"reading_s":'
         b'3.5,"lasts_s":4.5,"parts":[[5,6]],"memory_tokens":7}}'
     ),
-    TellEnded: (b'{"type":"loads.ended","engine":"s1","number":2,"end":"silent"}'),
+    PromptEnded: (b'{"type":"loads.ended","engine":"s1","number":2,"end":"silent"}'),
     Crash: (
         b'{"type":"crash.seen","backend":"s1","service":"s2","version":"s3","is_'
         b'proven":true,"fresh":["s5"],"older":["s6"]}'
     ),
-    CompareHeld: (b'{"type":"quarantine.compare","digest":1,"asks":true}'),
-    HeldAre: (
+    QuarantineDigest: (b'{"type":"quarantine.compare","digest":1,"asks":true}'),
+    QuarantineEntries: (
         b'{"type":"quarantine.are","entries":[{"fingerprint":"s1","service":"s2"'
         b',"times":3,"left_s":4.5,"is_cleared":true,"versions":["s6"]}],"is_comp'
         b'lete":true,"wants_reply":true}'
--- a/tests/instance/test_placement.py
+++ b/tests/instance/test_placement.py
@@ -11,12 +11,12 @@
 from baobabthread.core.backends.loads import Part, ReadingEnd
 from baobabthread.instance.clock import now
 from baobabthread.instance.placement import (
-    ANSWER_S,
-    AskLoads,
-    LoadsAre,
+    REPLY_TIMEOUT_S,
+    LoadsReply,
+    LoadsRequest,
     Placement,
-    TellEnded,
-    TellPlaced,
+    PromptEnded,
+    PromptPlaced,
 )
 
 ENGINES = [f"e{number}" for number in range(12)]
@@ -30,7 +30,7 @@
         self.dead: set[str] = set()
         self.sent = 0
         self.members = {
-            name: Placement(me=name, tell=self._make_tell(name)) for name in names
+            name: Placement(me=name, send=self._make_tell(name)) for name in names
         }
         for member in self.members.values():
             member.set_members(list(names))
@@ -47,14 +47,14 @@
     def _deliver(self, sender: str, to: str, message: msgspec.Struct) -> None:
         member = self.members[to]
         match message:
-            case AskLoads():
-                member.answer(sender, message)
-            case LoadsAre():
-                member.take(message)
-            case TellPlaced():
-                member.take_placed(sender, message)
-            case TellEnded():
-                member.take_ended(sender, message)
+            case LoadsRequest():
+                member.handle_request(sender, message)
+            case LoadsReply():
+                member.handle_reply(message)
+            case PromptPlaced():
+                member.handle_placed(sender, message)
+            case PromptEnded():
+                member.handle_ended(sender, message)
 
 
 def test_know_what_another_instance_has_placed() -> None:
@@ -62,7 +62,7 @@
         net = Net("a", "b", "c")
         prompt = net.members["a"].place("e1", reading_s=0.4, lasts_s=9.0, parts=(PART,))
         await asyncio.sleep(0)
-        loads = await net.members["b"].ask(ENGINES, (PART,))
+        loads = await net.members["b"].query_loads(ENGINES, (PART,))
         assert set(loads) == set(ENGINES)
         assert loads["e1"].wait_s == pytest.approx(0.4, abs=0.05)
         assert loads["e1"].kept_tokens == 300
@@ -70,7 +70,7 @@
         prompt.end(ReadingEnd.BEGUN)
         prompt.end(ReadingEnd.SILENT)
         await asyncio.sleep(0)
-        loads = await net.members["c"].ask(["e1"], (PART,))
+        loads = await net.members["c"].query_loads(["e1"], (PART,))
         assert loads["e1"].wait_s == 0.0
 
     asyncio.run(case())
@@ -86,11 +86,11 @@
         net = Net("a", "b", "c")
         net.dead = {"b"}
         began = now()
-        loads = await net.members["a"].ask(ENGINES, ())
+        loads = await net.members["a"].query_loads(ENGINES, ())
         assert 0 < len(loads) < len(ENGINES)
-        assert now() - began >= ANSWER_S * 0.9
+        assert now() - began >= REPLY_TIMEOUT_S * 0.9
         sent = net.sent
-        again = await net.members["a"].ask(ENGINES, ())
+        again = await net.members["a"].query_loads(ENGINES, ())
         assert set(again) == set(loads)
         # One question and one answer, to and from the keeper that lives.
         assert net.sent - sent == 2
@@ -111,7 +111,7 @@
         for engine in ENGINES:
             net.members["a"].place(engine, reading_s=0.3, lasts_s=9.0, parts=())
         await asyncio.sleep(0)
-        loads = await net.members["c"].ask(ENGINES, ())
+        loads = await net.members["c"].query_loads(ENGINES, ())
         assert min(load.wait_s for load in loads.values()) > 0.2
 
     asyncio.run(case())
@@ -120,7 +120,7 @@
 def test_ask_each_keeper_once() -> None:
     async def case() -> None:
         net = Net("a", "b", "c")
-        await net.members["a"].ask(ENGINES, (PART,))
+        await net.members["a"].query_loads(ENGINES, (PART,))
         assert net.sent <= 4
 
     asyncio.run(case())
--- a/tests/instance/test_quarantine.py
+++ b/tests/instance/test_quarantine.py
@@ -8,7 +8,11 @@
 
 from baobabthread.instance import quarantine as module
 from baobabthread.instance.clock import now
-from baobabthread.instance.quarantine import CompareHeld, HeldAre, QuarantineDesk
+from baobabthread.instance.quarantine import (
+    QuarantineCoordinator,
+    QuarantineDigest,
+    QuarantineEntries,
+)
 from baobabthread.routing.bounds import RoutingBounds
 from baobabthread.routing.configuration import RolloutOrder, RolloutState, RolloutStatus
 from baobabthread.routing.crashes import SETTLE_S, Crash
@@ -28,15 +32,15 @@
 
     def entries(self) -> list[Held]:
         """Return the entries of all messages."""
-        found = [word for _, word in self.words if isinstance(word, HeldAre)]
+        found = [word for _, word in self.words if isinstance(word, QuarantineEntries)]
         return [held for word in found for held in word.entries]
 
 
-def make_desk() -> tuple[QuarantineDesk, Told]:
+def make_desk() -> tuple[QuarantineCoordinator, Told]:
     told = Told()
-    desk = QuarantineDesk(me="a", tell=told.tell)
+    desk = QuarantineCoordinator(me="a", send=told.tell)
     desk.set_members(["a", "b", "c", "d"])
-    desk.knows_all = True
+    desk.has_complete_list = True
     return desk, told
 
 
@@ -61,9 +65,9 @@
     plan = VersionPlan(service="s", bounds=RoutingBounds())
     order = RolloutOrder(number=1, service="s", target="v2", time_limit_s=60.0)
     plan.take_order(order, now())
-    desk.is_on_trial = lambda service, version: plan.is_unproven(version)
+    desk.is_canary = lambda service, version: plan.is_unproven(version)
     for number in range(3):
-        desk.take_crash(
+        desk.handle_crash(
             Crash(
                 backend=f"b{number}",
                 service="s",
@@ -77,9 +81,9 @@
         service="s", target="v2", state=RolloutState.REVERTED, number=1
     )
     plan.take_status(status, now())
-    time.sleep(SETTLE_S + module.JUDGES * module.TURN_S)
+    time.sleep(SETTLE_S + module.OWNER_COUNT * module.OWNER_STAGGER_S)
     desk.tick()
-    assert not desk.holds_any
+    assert not desk.has_entries
 
 
 def test_object_to_what_was_answered_here() -> None:
@@ -89,7 +93,7 @@
     """
     desk, told = make_desk()
     desk.was_answered = lambda fingerprint: fingerprint == "f1"
-    desk.take("b", HeldAre(entries=[make_held()]))
+    desk.handle_entries("b", QuarantineEntries(entries=[make_held()]))
     assert desk.find("f1") is None
     assert told.entries()
     assert all(held.is_cleared for held in told.entries())
@@ -97,37 +101,41 @@
 
 def test_tell_only_what_a_neighbour_lacks() -> None:
     desk, told = make_desk()
-    desk.take("b", HeldAre(entries=[make_held("f1"), make_held("f2")]))
-    desk.take("b", HeldAre(entries=[make_held("f2")], wants_reply=True))
+    desk.handle_entries(
+        "b", QuarantineEntries(entries=[make_held("f1"), make_held("f2")])
+    )
+    desk.handle_entries(
+        "b", QuarantineEntries(entries=[make_held("f2")], wants_reply=True)
+    )
     assert [held.fingerprint for held in told.entries()] == ["f1"]
 
 
 def test_answer_a_list_that_differs_and_whoever_asks() -> None:
     desk, told = make_desk()
-    desk.compare("b", CompareHeld(digest=desk.quarantine.digest))
+    desk.handle_digest("b", QuarantineDigest(digest=desk.quarantine.digest))
     assert told.words == []
-    desk.compare("b", CompareHeld(digest=desk.quarantine.digest, asks=True))
-    desk.take("c", HeldAre(entries=[make_held()]))
-    desk.compare("d", CompareHeld(digest=0))
+    desk.handle_digest("b", QuarantineDigest(digest=desk.quarantine.digest, asks=True))
+    desk.handle_entries("c", QuarantineEntries(entries=[make_held()]))
+    desk.handle_digest("d", QuarantineDigest(digest=0))
     (first, asked), (second, differs) = told.words
     assert (first, second) == ("b", "d")
-    assert isinstance(asked, HeldAre)
+    assert isinstance(asked, QuarantineEntries)
     assert asked.is_complete
     assert not asked.wants_reply
-    assert isinstance(differs, HeldAre)
+    assert isinstance(differs, QuarantineEntries)
     assert differs.wants_reply
 
 
 def test_read_the_store_where_no_peer_tells() -> None:
     desk, told = make_desk()
-    desk.knows_all = False
+    desk.has_complete_list = False
     desk.tick()
-    assert [type(word) for _, word in told.words] == [CompareHeld]
-    assert not desk.must_read
-    desk._started_at -= module.ALONE_S + 0.1
-    assert desk.must_read
-    desk.take("b", HeldAre(entries=[], is_complete=True))
-    assert not desk.must_read
+    assert [type(word) for _, word in told.words] == [QuarantineDigest]
+    assert not desk.must_read_store
+    desk._started_at -= module.PEER_LIST_TIMEOUT_S + 0.1
+    assert desk.must_read_store
+    desk.handle_entries("b", QuarantineEntries(entries=[], is_complete=True))
+    assert not desk.must_read_store
 
 
 def test_tell_that_a_request_is_let_go_after_it_was_judged() -> None:
@@ -146,8 +154,8 @@
             fresh=["f1"],
             older=[],
         )
-        desk.report(crash)
+        desk.report_crash(crash)
     desk.was_answered = lambda fingerprint: True
-    time.sleep(SETTLE_S + module.TURN_S + 0.05)
+    time.sleep(SETTLE_S + module.OWNER_STAGGER_S + 0.05)
     desk.tick()
     assert [held.is_cleared for held in told.entries()] == [True]
--- a/tests/instance/test_selection.py
+++ b/tests/instance/test_selection.py
@@ -9,8 +9,8 @@
 from bench._rollout_members import make_flight
 
 from baobabthread.instance.clock import now
+from baobabthread.instance.context import RequestContext
 from baobabthread.instance.estimates import Estimates
-from baobabthread.instance.flight import Flight
 from baobabthread.instance.selection import Selection
 from baobabthread.routing.bounds import RoutingBounds
 from baobabthread.routing.configuration import RolloutOrder
@@ -33,7 +33,7 @@
     def versions(self, service: str) -> dict[str, int]:
         return {version: len(names) for version, names in self.names.items() if names}
 
-    def list_sidelined(
+    def list_non_canaries(
         self, service: str, version: str, canaries: int
     ) -> frozenset[str]:
         return frozenset(self.names[version][1:])
@@ -47,11 +47,11 @@
     nothing: Any = None
     backends: Any = servers
     return Selection(
-        knowledge=nothing,
+        replica=nothing,
         backends=backends,
         estimates=Estimates(),
         placement=nothing,
-        off=frozenset({Mechanism.LOADS, Mechanism.HOMES}),
+        disabled=frozenset({Mechanism.LOADS, Mechanism.HOMES}),
     )
 
 
@@ -65,13 +65,13 @@
     return plan
 
 
-def make_moved() -> Flight:
+def make_moved() -> RequestContext:
     flight = make_flight("s")
-    flight.session_on_new = True
+    flight.session_on_new_version = True
     return flight
 
 
-def choose(servers: Servers, flight: Flight, plan: VersionPlan) -> str:
+def choose(servers: Servers, flight: RequestContext, plan: VersionPlan) -> str:
     link = asyncio.run(make_selection(servers).select(flight, plan))
     assert link is not None
     return link.name
--- a/tests/platform/test_crashes.py
+++ b/tests/platform/test_crashes.py
@@ -158,7 +158,7 @@
 
 
 def holds(site: Site, index: int) -> bool:
-    return site.instances[index].peers.quarantine.holds_any
+    return site.instances[index].peers.quarantine.has_entries
 
 
 def read_kind(answer: CallerResponse | None) -> str:
@@ -295,7 +295,7 @@
                     len(i.peers.membership.alive()) == 3 for i in site.instances
                 )
             )
-            judges = site.instances[0].peers.quarantine._find_judges("plain")
+            judges = site.instances[0].peers.quarantine._find_owners("plain")
             still = [
                 i for i in site.instances if i.peers.membership.me.name == judges[0]
             ]
--- a/tests/platform/test_mechanisms.py
+++ b/tests/platform/test_mechanisms.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from baobabthread.instance.placement import Placement, TellPlaced
+from baobabthread.instance.placement import Placement, PromptPlaced
 from baobabthread.routing.mechanisms import Mechanism
 from tests.platform.site import open_site, run
 
@@ -38,7 +38,7 @@
 def test_tell_of_loads_only_with_them(
     monkeypatch: pytest.MonkeyPatch, off: Mechanism | None, count: int
 ) -> None:
-    told: list[TellPlaced] = []
+    told: list[PromptPlaced] = []
     monkeypatch.setattr(
         Placement, "take_placed", lambda placement, sender, word: told.append(word)
     )
--- a/tests/platform/test_stops.py
+++ b/tests/platform/test_stops.py
@@ -101,7 +101,7 @@
                 for n in range(20)
             ]
             await wait_for(lambda: forwarder.in_flight == 20 and len(server.seen) == 16)
-            await forwarder.end()
+            await forwarder.shut_down()
             answers = await asyncio.gather(*asking)
             assert Counter(answer.status for answer in answers) == {502: 16, 503: 4}
             for answer in answers:
--- a/tests/platform/test_streams.py
+++ b/tests/platform/test_streams.py
@@ -6,7 +6,7 @@
 import pytest
 
 from baobabthread.instance.clock import now
-from baobabthread.instance.flight import CallerRequest, Flight, Reply
+from baobabthread.instance.context import CallerRequest, Reply, RequestContext
 from baobabthread.routing.bounds import RoutingBounds
 from baobabthread.routing.configuration import RolloutOrder
 from baobabthread.routing.stopping import plan_stop
@@ -168,7 +168,7 @@
     run(case())
 
 
-def make_flight(site: Site, session: str) -> Flight:
+def make_flight(site: Site, session: str) -> RequestContext:
     table = site.instances[0].knowledge.table
     assert table is not None
     route = table.match(HOST, "/stream/x")
@@ -182,7 +182,7 @@
         envelope=Envelope(request_id=session, session=session),
         arrived_at=now(),
     )
-    return Flight(
+    return RequestContext(
         request=request,
         reply=Unanswered(),
         route=route,
@@ -216,7 +216,7 @@
             admission = site.instances[0].forwarder.admission
             moment = now()
             plan = plan_stop(grace_s=8.0, now=moment, earliest=moment)
-            admission.leave(
+            admission.begin_stop(
                 msgspec.structs.replace(
                     plan, serves_all_until=moment, takes_until=moment + 3.0
                 )
