--- a/soak/weakened.py
+++ b/soak/weakened.py
@@ -10,10 +10,10 @@
 from baobabthread.instance import (
     attempts,
     connections,
+    context,
     crashes,
     endings,
     events,
-    flight,
     restrictions,
 )
 from baobabthread.instance.wire import ResponseMetadata
@@ -65,7 +65,7 @@
     """Promise that a request has not run though it may have."""
     ask = endings.Endings._surely_not_run
 
-    def surely_not_run(self: endings.Endings, flight: flight.RequestContext) -> bool:
+    def surely_not_run(self: endings.Endings, flight: context.RequestContext) -> bool:
         return not safeguard.stands(not ask(self, flight))
 
     endings.Endings._surely_not_run = surely_not_run  # type: ignore
@@ -178,13 +178,13 @@
 @WEAKENED.register("forget homes")
 def forget_homes(safeguard: Safeguard) -> None:
     """Let every request be served anywhere."""
-    ask = flight.find_homes
+    ask = context.find_homes
 
     def find_homes(route: Any, account: Any) -> Any:
         homes = ask(route, account)
         return homes if safeguard.stands(homes is not None) else None
 
-    flight.find_homes = find_homes
+    context.find_homes = find_homes
 
 
 def main() -> int:
--- a/src/baobabthread/instance/admission.py
+++ b/src/baobabthread/instance/admission.py
@@ -51,12 +51,12 @@
 
     __slots__ = (
         "_estimates",
-        "_replica",
-        "_ready",
         "_models",
+        "_ready",
+        "_replica",
         "_rng",
         "_services",
-        "_stopping",
+        "_stop_plan",
     )
 
     def __init__(
--- a/src/baobabthread/instance/attempts.py
+++ b/src/baobabthread/instance/attempts.py
@@ -96,8 +96,8 @@
         "_response",
         "context",
         "link",
-        "silence_timeout_s",
         "sent_at",
+        "silence_timeout_s",
     )
 
     def __init__(
--- a/src/baobabthread/instance/backends.py
+++ b/src/baobabthread/instance/backends.py
@@ -53,12 +53,12 @@
     """Hold one backend server's record, connections and last sign of life."""
 
     __slots__ = (
-        "_answered",
-        "received_at",
+        "_answered_sent_at",
         "is_replaced",
-        "record_cold",
         "pool",
+        "received_at",
         "record",
+        "record_cold",
         "suspect_until",
     )
 
@@ -115,7 +115,7 @@
 class Backends:
     """Choose among the backend servers that are known and reach them."""
 
-    __slots__ = ("_replica", "_links", "_restrictions", "_applied_changes", "table")
+    __slots__ = ("_applied_changes", "_links", "_replica", "_restrictions", "table")
 
     def __init__(
         self,
--- a/src/baobabthread/instance/callers.py
+++ b/src/baobabthread/instance/callers.py
@@ -101,7 +101,7 @@
 class CallerServer:
     """Turn HTTP requests into requests that can be decided on."""
 
-    __slots__ = ("_handle", "_is_leaving", "_body_limit", "_wire")
+    __slots__ = ("_body_limit", "_handle", "_is_leaving", "_wire")
 
     def __init__(
         self,
--- a/src/baobabthread/instance/crashes.py
+++ b/src/baobabthread/instance/crashes.py
@@ -114,7 +114,7 @@
 
 
 class _WatchedServer:
-    __slots__ = ("broke_at", "check", "here", "link", "past")
+    __slots__ = ("active", "broke_at", "check", "departed", "link")
 
     def __init__(self, link: BackendLink) -> None:
         self.link = link
--- a/src/baobabthread/instance/estimates.py
+++ b/src/baobabthread/instance/estimates.py
@@ -28,7 +28,7 @@
 class Estimates:
     """Ask the pace of answers about one request, and teach it."""
 
-    __slots__ = ("_latency_model", "_event_gaps", "engine_time_cost")
+    __slots__ = ("_event_gaps", "_latency_model", "engine_time_cost")
 
     def __init__(self) -> None:
         self._latency_model = Pace()
--- a/src/baobabthread/instance/placement.py
+++ b/src/baobabthread/instance/placement.py
@@ -60,7 +60,7 @@
 
 
 class _Query:
-    __slots__ = ("completed", "asked", "loads")
+    __slots__ = ("completed", "loads", "pending")
 
     def __init__(self, answer: asyncio.Future[None]) -> None:
         self.completed = answer
@@ -72,14 +72,14 @@
     """Know the loads of engines through their keepers; this instance is one of them."""
 
     __slots__ = (
-        "_alive",
-        "_keepers",
+        "_backoff_until",
         "_loads",
         "_me",
-        "_sequence",
-        "_questions",
-        "_silent_until",
+        "_members",
+        "_owners",
+        "_queries",
         "_send",
+        "_sequence",
     )
 
     def __init__(self, *, me: str, send: SendMessage) -> None:
--- a/src/baobabthread/instance/responses.py
+++ b/src/baobabthread/instance/responses.py
@@ -28,7 +28,7 @@
 class ResponseForwarder:
     """Pass answers on, whole or event by event."""
 
-    __slots__ = ("_estimates", "_log", "_models", "_disabled", "_selection", "_wire")
+    __slots__ = ("_disabled", "_estimates", "_log", "_models", "_selection", "_wire")
 
     def __init__(
         self,
--- a/src/baobabthread/instance/restrictions.py
+++ b/src/baobabthread/instance/restrictions.py
@@ -22,14 +22,14 @@
     """Tell which backend servers an attempt must not go to, and why."""
 
     __slots__ = (
-        "_abroad",
-        "_regions",
         "_bounds",
         "_checked_version",
         "_cold",
         "_evacuated",
-        "_replica",
+        "_outside_regions",
         "_population",
+        "_regions",
+        "_replica",
         "_windows",
     )
 
--- a/src/baobabthread/instance/selection.py
+++ b/src/baobabthread/instance/selection.py
@@ -35,7 +35,7 @@
 class Selection:
     """Choose the version and the backend server for each attempt."""
 
-    __slots__ = ("_backends", "_estimates", "_replica", "_disabled", "_placement")
+    __slots__ = ("_backends", "_disabled", "_estimates", "_placement", "_replica")
 
     def __init__(
         self,
--- a/tests/platform/test_mechanisms.py
+++ b/tests/platform/test_mechanisms.py
@@ -40,7 +40,7 @@
 ) -> None:
     told: list[PromptPlaced] = []
     monkeypatch.setattr(
-        Placement, "take_placed", lambda placement, sender, word: told.append(word)
+        Placement, "handle_placed", lambda placement, sender, word: told.append(word)
     )
     asyncio.run(ask(off, confidence=100))
     assert len(told) == count
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self.parts = 0
 
-    async def read_some(self) -> bytes:
+    async def read_chunk(self) -> bytes:
         """Return a part after one turn of the loop."""
         await asyncio.sleep(0)
         self.parts += 1
