--- a/bench/_rollout_members.py
+++ b/bench/_rollout_members.py
@@ -251,7 +251,7 @@
         """Send one request of a session to a server, as often as it takes."""
         plan = self.plan
         flight = make_flight(sent.session)
-        if plan.is_contested(sent.session, now()):
+        if plan.needs_owner_decision(sent.session, now()):
             flight.session_on_new_version = await self.peers.desk.decide(
                 plan, sent.session
             )
@@ -262,12 +262,12 @@
             flight.record_sent()
             on_old = not flight.on_new_version
             if on_old:
-                plan.started_old(flight.session, now())
+                plan.record_old_started(flight.session, now())
             self._note_use(flight)
             await asyncio.sleep(lasts_s)
             self._judge(flight, version)
             if on_old:
-                plan.ended_old(flight.session, now())
+                plan.record_old_ended(flight.session, now())
             self._note_use(flight)
             sent.ended_s = self.world.elapsed_s
         flight.release_exposure()
@@ -291,8 +291,8 @@
         plan = self.plan
         failed = version == NEW and self.world.watcher.fails(self.world.elapsed_s)
         if plan.is_running:
-            plan.trial.observe(
-                on_trial=bool(flight.on_new_version),
+            plan.analysis.observe_response(
+                is_canary=bool(flight.on_new_version),
                 call="c",
                 kind="c",
                 failed=failed,
--- a/src/baobabthread/instance/admission.py
+++ b/src/baobabthread/instance/admission.py
@@ -158,7 +158,7 @@
         if is_low and self._estimates.engine_time_cost < IDLE_COST:
             flight.model = len(models) - 1
         else:
-            flight.model = self._models.begin(len(models))
+            flight.model = self._models.choose_first(len(models))
 
     def _can_finish(self, flight: RequestContext) -> bool:
         """Tell whether an answer would be whole before this instance ends."""
--- a/src/baobabthread/instance/conducting.py
+++ b/src/baobabthread/instance/conducting.py
@@ -21,11 +21,11 @@
     RolloutState,
     RolloutStatus,
 )
-from baobabthread.routing.judgment import judge_rollout, may_begin_final
+from baobabthread.routing.evaluation import evaluate_rollout, may_begin_final_phase
 from baobabthread.routing.knowledge import Knowledge
-from baobabthread.routing.permission import PERMIT_S
+from baobabthread.routing.permission import PERMIT_TTL_S
 from baobabthread.routing.progress import Progress
-from baobabthread.routing.trialsums import TrialSums
+from baobabthread.routing.rollouttotals import RolloutTotals
 from baobabthread.routing.versions import VersionPlan
 
 PERIOD_S = 0.25
@@ -64,7 +64,7 @@
         self._confirmation = Confirmation(
             store=store, formats=formats, take_end=self._end
         )
-        self._sums = TrialSums()
+        self._sums = RolloutTotals()
         self._news = asyncio.Event()
         peers.trials.take_verdict = self._take_verdict
         peers.trials.take_permit = self._take_permit
@@ -84,7 +84,9 @@
 
     def _choose_pause(self) -> float:
         plans = [state.plan for state in self._services]
-        ends = any(plan.is_running and plan.is_closing(now()) for plan in plans)
+        ends = any(
+            plan.is_running and plan.is_in_promotion_window(now()) for plan in plans
+        )
         return END_PERIOD_S if ends else PERIOD_S
 
     def take_orders(self) -> None:
@@ -101,7 +103,7 @@
         for name, order in orders.items():
             plan = self._services.get(name).plan
             is_early = order.number in self._early
-            if plan.take_order(order, now(), saw_before=not is_early):
+            if plan.apply_order(order, now(), served_before_order=not is_early):
                 self._news.set()
 
     async def _step(self) -> None:
@@ -109,21 +111,21 @@
         if self._knowledge.table is None:
             return
         for state in self._services:
-            state.plan.note_versions(self._backends.versions(state.name))
+            state.plan.update_versions(self._backends.versions(state.name))
         self.take_orders()
         orders = self._knowledge.orders
         alive = self._peers.membership.alive()
-        self._sums.note_members([member.name for member in alive], moment)
+        self._sums.update_members([member.name for member in alive], moment)
         if self._early and not self._is_recalled:
             # An order that came later can't have been carried out before.
             await self._recall()
         for name, order in list(orders.items()):
             plan = self._services.get(name).plan
-            plan.rate.note(plan.exposure.report().requests, moment)
+            plan.rate.record(plan.exposure.report().requests, moment)
             self._peers.desk.begin(plan)
             self._listen(plan)
-            plan.trial.note_overdue(moment)
-            plan.note_target(
+            plan.analysis.count_overdue(moment)
+            plan.update_target(
                 usable=self._may_begin(plan, order),
                 now=moment,
                 servers=self._backends.usable_versions(name).get(order.target, 1),
@@ -139,11 +141,11 @@
         """Log when a trial pauses here for want of a permit, and when it goes on."""
         before = self._permitted.get(plan.service, False)
         left_s = plan.permission.permitted_s(moment)
-        is_permitted = plan.is_on_trial and left_s > 0.0
+        is_permitted = plan.is_canary_phase and left_s > 0.0
         if before == is_permitted:
             return
         self._permitted[plan.service] = is_permitted
-        if not plan.is_on_trial:
+        if not plan.is_canary_phase:
             return
         fields = {
             "service": plan.service,
@@ -157,7 +159,7 @@
 
     def _may_begin(self, plan: VersionPlan, order: RolloutOrder) -> bool:
         """Tell whether servers of an order's version may get work, or still may."""
-        if plan.has_begun:
+        if plan.has_target_servers:
             return order.target in self._backends.usable_versions(order.service)
         # Failure: an order comes as its servers start, all of them cold, and what the
         # trial sends there is refused though the old version has room.
@@ -178,18 +180,18 @@
                 continue
             plan = self._services.get(status.service).plan
             order = self._knowledge.orders[status.service]
-            plan.take_order(order, now(), saw_before=False)
-            plan.permission.confirm(asked_at=asked_at)
+            plan.apply_order(order, now(), served_before_order=False)
+            plan.permission.confirm(requested_at=asked_at)
             self._adopt(plan, status, "store")
 
     def _listen(self, plan: VersionPlan) -> None:
         moment = now()
         for payload in self._peers.heard(f"rollout/{plan.service}"):
             progress = msgspec.json.decode(payload.body, type=Progress)
-            plan.take_verdict(progress, moment)
+            plan.apply_verdict(progress, moment)
         for word in self._words(plan):
-            plan.take_progress(word.progress, moment)
-            plan.trial.merge(word.origin, word.evidence)
+            plan.apply_progress(word.progress, moment)
+            plan.analysis.merge(word.origin, word.evidence)
         for payload in self._peers.heard(f"status/{plan.service}"):
             status = msgspec.json.decode(payload.body, type=RolloutStatus)
             self._adopt(plan, status, payload.origin)
@@ -197,7 +199,7 @@
     def _take_verdict(self, progress: Progress) -> None:
         plan = self._services.get(progress.service).plan
         before = plan.state
-        plan.take_verdict(progress, now())
+        plan.apply_verdict(progress, now())
         if plan.state is not before:
             self._log_end(plan, "leader")
 
@@ -206,7 +208,7 @@
         if plan.order is None or plan.order.number != permit.progress.number:
             return
         self._take_verdict(permit.progress)
-        plan.permit(asked_at=permit.sent_at, admits=permit.progress.admits)
+        plan.permit(requested_at=permit.sent_at, admits=permit.progress.admits)
         self._peers.trials.note_permit(plan.service, permit.sent_at)
 
     def _find_permit(self, service: str, number: int) -> Progress | None:
@@ -227,11 +229,13 @@
         progress = plan.progress(now())
         if progress is None or not self._confirmation.is_fresh(service):
             return None
-        return msgspec.structs.replace(progress, admits=self._sums.admits(plan, now()))
+        return msgspec.structs.replace(
+            progress, admits=self._sums.may_admit(plan, now())
+        )
 
     def _adopt(self, plan: VersionPlan, status: RolloutStatus, source: str) -> None:
         before = plan.state
-        plan.take_status(status, now())
+        plan.apply_status(status, now())
         if plan.state is not before:
             self._log_end(plan, source)
 
@@ -257,14 +261,14 @@
                 service=plan.service,
                 share=progress.share,
                 elapsed_s=progress.elapsed_s,
-                seen=plan.trial.seen,
-                alarm=plan.trial.alarm or "",
+                seen=plan.analysis.seen,
+                alarm=plan.analysis.alarm or "",
             )
         self._peers.trials.tell(
             TrialWord(
                 origin=self._peers.incarnation,
                 progress=progress,
-                evidence=plan.trial.evidence(),
+                evidence=plan.analysis.evidence(),
                 exposure=plan.exposure.report(),
             ),
             permit_s=self._find_permit_s(plan),
@@ -276,7 +280,9 @@
     def _find_permit_s(self, plan: VersionPlan) -> float:
         """Return the seconds until the permit runs out, or the first one is overdue."""
         moment = now()
-        return max(plan.permission.permitted_s(moment), PERMIT_S - plan.elapsed(moment))
+        return max(
+            plan.permission.permitted_s(moment), PERMIT_TTL_S - plan.elapsed(moment)
+        )
 
     def _spread(self, progress: Progress) -> None:
         """Spread the leader's word also to those that start later or missed it."""
@@ -309,16 +315,18 @@
         if not plan.is_running:
             return
         told = [(word.progress, word.exposure) for word in self._words(plan)]
-        self._sums.count(plan, told, moment)
+        self._sums.update(plan, told, moment)
         if self._confirmation.is_fresh(plan.service):
             plan.permit(
-                asked_at=self._confirmation.confirmed_at(plan.service),
-                admits=self._sums.admits(plan, now()),
+                requested_at=self._confirmation.confirmed_at(plan.service),
+                admits=self._sums.may_admit(plan, now()),
             )
             self._begin_final(plan)
         words = [word.progress for word in self._words(plan)]
         others = len(self._peers.membership.alive()) - 1
-        state = judge_rollout(plan, words, others, moment, totals=self._sums.find(plan))
+        state = evaluate_rollout(
+            plan, words, others, moment, totals=self._sums.find(plan)
+        )
         written = self._written.get(plan.service)
         if (
             written is not None
@@ -339,11 +347,11 @@
         """Let the new version take over once what it may get lasts to the limit."""
         moment = now()
         totals = self._sums.find(plan)
-        if not may_begin_final(plan, totals, moment):
+        if not may_begin_final_phase(plan, totals, moment):
             return
-        if not self._sums.hears_enough(plan, moment):
+        if not self._sums.has_quorum(plan, moment):
             return
-        plan.begin_final(moment, part=self._sums.find_end_part(plan, moment))
+        plan.begin_final_phase(moment, quota=self._sums.find_final_quota(plan, moment))
         log_event(
             "rollout_final",
             service=plan.service,
@@ -351,7 +359,7 @@
             exposed=totals.total.exposed,
             per_s=round(totals.per_s(plan.elapsed(moment)), 1),
             left_s=round(plan.left_s(moment), 2),
-            evidence=plan.trial.describe(),
+            evidence=plan.analysis.describe(),
         )
         self._tell(plan)
 
@@ -379,14 +387,14 @@
             target=status.target,
             state=status.state,
             elapsed_s=round(status.elapsed_s, 2),
-            evidence=plan.trial.describe(),
+            evidence=plan.analysis.describe(),
             requests=self._sums.find(plan).total.requests,
             exposed=self._sums.find(plan).total.exposed,
-            alarm=plan.trial.alarm or "",
+            alarm=plan.analysis.alarm or "",
         )
         if status.state is not RolloutState.RUNNING:
             progress = plan.progress(now())
-            plan.take_status(status, now())
+            plan.apply_status(status, now())
             if progress is not None:
                 # Gossip takes seconds among hundreds.
                 ended = msgspec.structs.replace(progress, state=status.state)
--- a/src/baobabthread/instance/estimates.py
+++ b/src/baobabthread/instance/estimates.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from baobabthread.instance.context import RequestContext
+from baobabthread.routing.gaps import InterEventGaps
+from baobabthread.routing.latencies import LatencyModel
 from baobabthread.routing.mechanisms import Mechanism, Switches
-from baobabthread.routing.pace import Pace
-from baobabthread.routing.pauses import Pauses
 
 SLOW_TOKEN_S = 0.04
 """Time for a token at an engine that reads long prompts between its tokens: about nine
@@ -31,8 +31,8 @@
     __slots__ = ("_event_gaps", "_latency_model", "engine_time_cost")
 
     def __init__(self) -> None:
-        self._latency_model = Pace()
-        self._event_gaps = Pauses()
+        self._latency_model = LatencyModel()
+        self._event_gaps = InterEventGaps()
         self.engine_time_cost = 0.0
         """What engine time was worth of late."""
 
@@ -44,10 +44,10 @@
     def total_s(self, flight: RequestContext, model: str | None) -> float:
         """Return about the seconds until a model's answer is whole."""
         envelope = flight.request.envelope
-        return self._latency_model.whole_s(
+        return self._latency_model.total_s(
             flight.service,
             model,
-            prompt=envelope.prompt_tokens,
+            prompt_tokens=envelope.prompt_tokens,
             tokens=envelope.expected_tokens,
         )
 
@@ -55,12 +55,12 @@
         """Return about the seconds that a model's longest answer would take."""
         envelope = flight.request.envelope
         guess = int(LENGTH_FACTOR * envelope.expected_tokens)
-        return self._latency_model.whole_s(
+        return self._latency_model.total_s(
             flight.service,
             model,
-            prompt=envelope.prompt_tokens,
+            prompt_tokens=envelope.prompt_tokens,
             tokens=envelope.output_tokens or guess,
-            least_token_s=SLOW_TOKEN_S,
+            min_token_s=SLOW_TOKEN_S,
         )
 
     def work_ms(self, flight: RequestContext) -> int:
@@ -83,7 +83,7 @@
             kept_tokens = _find_kept_tokens(flight)
         fresh = max(0, flight.request.envelope.prompt_tokens - kept_tokens)
         name = model or flight.model_name
-        return self._latency_model.unhindered_s(flight.service, name, fresh)
+        return self._latency_model.unloaded_first_s(flight.service, name, fresh)
 
     def unloaded_first_s(self, flight: RequestContext) -> float:
         """Return the seconds to an answer's first part where nothing is in the way.
@@ -98,7 +98,7 @@
     def shared_s(self, flight: RequestContext) -> float:
         """Return the seconds that a cached prefix saves."""
         tokens = flight.request.envelope.shared_tokens
-        return self._latency_model.shared_s(flight.service, flight.model_name, tokens)
+        return self._latency_model.prefill_s(flight.service, flight.model_name, tokens)
 
     def estimate_costs(
         self,
@@ -129,7 +129,7 @@
 
     def event_timeout_s(self, flight: RequestContext) -> float:
         """Return the silence within a stream after which its engine is given up."""
-        return self._event_gaps.patience_s(flight.service)
+        return self._event_gaps.timeout_s(flight.service)
 
     def observe_event_gap(self, flight: RequestContext, gap_s: float) -> None:
         """Learn from a pause within a stream, also from one that was given up."""
@@ -140,8 +140,8 @@
         self._latency_model.observe(
             flight.service,
             flight.model_name,
-            prompt=0,
-            shared=0,
+            prompt_tokens=0,
+            shared_tokens=0,
             first_s=took_s,
             rest_s=0.0,
             tokens=1,
@@ -155,8 +155,8 @@
         self._latency_model.observe(
             flight.service,
             flight.model_name,
-            prompt=envelope.prompt_tokens,
-            shared=_find_kept_tokens(flight),
+            prompt_tokens=envelope.prompt_tokens,
+            shared_tokens=_find_kept_tokens(flight),
             first_s=first_s,
             rest_s=rest_s,
             tokens=envelope.expected_tokens,
--- a/src/baobabthread/instance/forwarder.py
+++ b/src/baobabthread/instance/forwarder.py
@@ -36,10 +36,10 @@
 from baobabthread.instance.sessions import SessionDesk
 from baobabthread.instance.turns import LEAST_LEFT_S, Turns
 from baobabthread.instance.wire import WireFormat
+from baobabthread.routing.canary import SentAttempt
 from baobabthread.routing.knowledge import Knowledge
 from baobabthread.routing.mechanisms import NONE_OFF, Mechanism, Switches
 from baobabthread.routing.models import MODEL_CHOICES
-from baobabthread.routing.trial import Sent
 
 MAX_LOST_CONNECTIONS = 3
 """Connections that may end under one request, where its route allows more tries: three
@@ -200,7 +200,9 @@
         return True
 
     async def _run_attempts(self, flight: RequestContext, state: ServiceState) -> None:
-        if not flight.is_sessionless and state.plan.is_contested(flight.session, now()):
+        if not flight.is_sessionless and state.plan.needs_owner_decision(
+            flight.session, now()
+        ):
             flight.session_on_new_version = await self._sessions.decide(
                 state.plan, flight.session
             )
@@ -243,17 +245,17 @@
         flight.attempts += 1
         on_old = not flight.on_new_version
         if on_old:
-            state.plan.started_old(flight.session, now())
+            state.plan.record_old_started(flight.session, now())
         self._report_session_use(flight, state)
         presence = ActiveRequest(context=flight, abort=attempt.abort)
         self._crashes.enter(presence, link)
         departure = Departure.CANCELLED
         outcome = Outcome.CANCELLED
-        trial = state.plan.trial
+        trial = state.plan.analysis
         ticket = self._start_observation(flight, state)
         try:
             head = await attempt.open(self._wire)
-            trial.end(ticket, failed=head.is_failure, now=now())
+            trial.finish_attempt(ticket, failed=head.is_failure, now=now())
             presence.record_begin()
             occupancy.begin(head.latency_s)
             if prompt is not None:
@@ -273,7 +275,7 @@
             outcome = classify_outcome(error)
             departure = _find_departure(error)
             if isinstance(error, SilenceTimeoutError | TimeoutError):
-                trial.end(ticket, failed=None, now=now())
+                trial.finish_attempt(ticket, failed=None, now=now())
             if _is_unavailable(error):
                 reading_end = ReadingEnd.SILENT
             flight.timeline.append(f"{link.record.id}:{str(error) or 'timeout'}")
@@ -283,13 +285,13 @@
             await self._retry_or_fail(flight, state, link, error)
         finally:
             attempt.abort()
-            trial.cancel(ticket)
+            trial.cancel_attempt(ticket)
             self._crashes.leave(presence, link, departure)
             occupancy.end(outcome, now() - attempt.sent_at)
             if prompt is not None:
                 prompt.end(reading_end)
             if on_old:
-                state.plan.ended_old(flight.session, now())
+                state.plan.record_old_ended(flight.session, now())
             self._report_session_use(flight, state)
 
     def _start_observation(self, flight: RequestContext, state: ServiceState) -> int:
@@ -297,9 +299,9 @@
 
         Without a trial it tells what answers of the version in force usually take.
         """
-        return state.plan.trial.begin(
-            Sent(
-                on_trial=bool(flight.on_new_version) and state.plan.is_running,
+        return state.plan.analysis.start_attempt(
+            SentAttempt(
+                is_canary=bool(flight.on_new_version) and state.plan.is_running,
                 call=flight.route.name,
                 kind=f"{flight.route.name}/{flight.model_name}",
                 at=now(),
--- a/src/baobabthread/instance/requestlog.py
+++ b/src/baobabthread/instance/requestlog.py
@@ -65,7 +65,7 @@
         self._metrics.version_choices.labels(
             service=flight.service, reason=str(reason)
         ).inc()
-        if reason is VersionReason.NOT_ON_TRIAL or not self._choices.try_acquire():
+        if reason is VersionReason.NOT_CANARY or not self._choices.try_acquire():
             return
         assert plan.order is not None
         log_event(
--- a/src/baobabthread/instance/responses.py
+++ b/src/baobabthread/instance/responses.py
@@ -16,7 +16,7 @@
 from baobabthread.instance.services import ServiceState
 from baobabthread.instance.wire import WireFormat
 from baobabthread.routing.mechanisms import Switches
-from baobabthread.routing.models import ModelChoice, ModelQuestion
+from baobabthread.routing.models import ModelChoice, PendingResponse
 
 LENGTH_MARGIN = 1.5
 """Times the expected length of a larger model's answer that must be left: callers'
@@ -112,7 +112,7 @@
         """Drop an answer that its own model doubts, and ask a larger one."""
         if flight.model is None:
             return
-        question = ModelQuestion(
+        question = PendingResponse(
             count=len(flight.route.models),
             index=flight.model,
             confidence=head.marks.confidence,
@@ -145,8 +145,8 @@
         return None if state.spend() else "budget"
 
     async def _estimate_escalation(
-        self, flight: RequestContext, head: ResponseHead, question: ModelQuestion
-    ) -> ModelQuestion:
+        self, flight: RequestContext, head: ResponseHead, question: PendingResponse
+    ) -> PendingResponse:
         """Add what a larger model's answer would wait for and leave of the objective.
 
         Where no keeper of engines answers, it is expected to wait as long as this
--- a/src/baobabthread/instance/selection.py
+++ b/src/baobabthread/instance/selection.py
@@ -73,7 +73,7 @@
     ) -> BackendLink | None:
         flight.kept_tokens = None
         flight.version = self.choose_version(flight, plan)
-        flight.is_canary = bool(flight.on_new_version) and plan.is_on_trial
+        flight.is_canary = bool(flight.on_new_version) and plan.is_canary_phase
         flight.non_canaries = self._find_non_canaries(flight, plan)
         names = self._list_candidates(flight)
         loads = await self._query_loads(flight, flight.model_name, names)
@@ -152,7 +152,9 @@
         ):
             return frozenset()
         bursts = plan.bursts
-        canaries = bursts.canaries if flight.is_sessionless else bursts.steady_canaries
+        canaries = (
+            bursts.burst_servers if flight.is_sessionless else bursts.session_servers
+        )
         return self._backends.list_non_canaries(
             flight.service, flight.version, canaries
         )
@@ -227,7 +229,7 @@
     """Tell whether a request is one for the new version, if servers are there."""
     moment = now()
     if flight.is_sessionless:
-        return plan.choose_free(flight.session, moment)
+        return plan.choose_without_session(flight.session, moment)
     if plan.is_running:
         return flight.session_on_new_version and plan.may_stay(moment)
     return not plan.is_reverted
@@ -239,15 +241,15 @@
     """Return why a request is to go to a version, before servers are looked at."""
     if wanted:
         if not flight.on_new_version:
-            return VersionReason.BEGAN_OLD
+            return VersionReason.STARTED_ON_OLD
         is_over = plan.is_final or not plan.is_running
-        return VersionReason.TAKEN_OVER if is_over else VersionReason.ON_TRIAL
-    if plan.is_reverted or plan.trial.alarm is not None:
-        return VersionReason.TAKEN_BACK
+        return VersionReason.PROMOTED if is_over else VersionReason.CANARY
+    if plan.is_reverted or plan.analysis.alarm is not None:
+        return VersionReason.ROLLED_BACK
     if flight.session_on_new_version:
         return VersionReason.NO_PERMIT
     if not plan.may_have_moved(flight.session):
-        return VersionReason.NOT_ON_TRIAL
+        return VersionReason.NOT_CANARY
     return VersionReason.KEPT
 
 
--- a/src/baobabthread/instance/services.py
+++ b/src/baobabthread/instance/services.py
@@ -73,8 +73,8 @@
         plan = self.get(service).plan
         if plan.order is None or plan.order.target != version or not plan.is_running:
             return
-        plan.trial.observe(
-            on_trial=True, call=CRASHES, kind=CRASHES, failed=True, latency_s=None
+        plan.analysis.observe_response(
+            is_canary=True, call=CRASHES, kind=CRASHES, failed=True, latency_s=None
         )
 
     def share(self, entries: int) -> None:
--- a/src/baobabthread/instance/sessions.py
+++ b/src/baobabthread/instance/sessions.py
@@ -149,9 +149,9 @@
                 told.intersection_update(self._alive)
         for service in self._handed:
             plan = self._find_plan(service)
-            if plan.is_on_trial:
+            if plan.is_canary_phase:
                 self._tell_moved(plan, plan.pins.list_new(now()))
-                self._hand_over(plan, plan.list_uses(now()))
+                self._hand_over(plan, plan.list_session_ages(now()))
 
     async def decide(self, plan: VersionPlan, session: str) -> bool:
         """Return whether a contested session's request goes to the new version."""
@@ -172,7 +172,7 @@
                     return is_new
             waiting = silent
         # In the second half any session may move, and one that has must not go back.
-        is_free = plan.is_past_half(now()) and plan.is_chosen(session)
+        is_free = plan.is_past_half(now()) and plan.is_in_canary_share(session)
         if plan.pins.is_on_new(session) or is_free:
             return True
         # Somebody may have decided to move it, and the answer was lost.
@@ -207,12 +207,12 @@
 
     def note_use(self, plan: VersionPlan, session: str) -> None:
         """Tell the deciding instances that a request is on the old version, or was."""
-        if plan.may_move_early(session):
+        if plan.may_join_canary(session):
             self._hand_over(plan, {session: 0.0})
 
     def note_new(self, plan: VersionPlan, session: str) -> None:
         """Tell the deciding instances that a request is on the new version, once."""
-        is_news = plan.pins.note_new(session, now())
+        is_news = plan.pins.record_new(session, now())
         if is_news and plan.is_running:
             self._tell_moved(plan, [session])
 
@@ -227,7 +227,7 @@
                     by_decider.setdefault(name, []).append(session)
         for name, theirs in by_decider.items():
             if name == self._me:
-                plan.pins.take_moved(theirs)
+                plan.pins.record_moved(theirs)
             else:
                 self._send_uses(name, plan, {}, theirs)
 
@@ -238,7 +238,7 @@
             return
         self._handed[plan.service] = order.number
         self._told[plan.service] = {}
-        self._hand_over(plan, plan.list_uses(now()))
+        self._hand_over(plan, plan.list_session_ages(now()))
 
     def tick(self) -> None:
         """Send again what nobody has confirmed."""
@@ -259,7 +259,7 @@
         for service in self._handed:
             plan = self._find_plan(service)
             sessions = plan.pins.list_running_old()
-            running = [s for s in sessions if plan.may_move_early(s)]
+            running = [s for s in sessions if plan.may_join_canary(s)]
             self._hand_over(plan, dict.fromkeys(running, 0.0))
 
     def _answer(self, sender: str, question: AskVersion) -> None:
@@ -278,20 +278,20 @@
         if plan.order is None or plan.order.number != uses.number:
             # The order is on its way here; the sender tells again.
             return
-        plan.pins.take_uses(uses.ages, now())
-        plan.pins.take_moved(uses.moved)
+        plan.pins.record_in_use(uses.ages, now())
+        plan.pins.record_moved(uses.moved)
         self._tell(sender, UsesNoted(sequence=uses.sequence))
 
     def _decide_here(self, plan: VersionPlan, session: str) -> bool | None:
         if plan.pins.is_admitted(session) or not plan.may_have_moved(session):
             return plan.decide(session, now())
-        if not plan.knows_uses(now()) and not plan.is_past_half(now()):
+        if not plan.knows_sessions_in_use(now()) and not plan.is_past_half(now()):
             return None
         if plan.decide(session, now()):
             return True
         # The first one may have let it in; what it did is told, and words get lost.
         is_first = self._find_deciders(session)[0] == self._me
-        return False if is_first and plan.knows_uses(now()) else None
+        return False if is_first and plan.knows_sessions_in_use(now()) else None
 
     def _hand_over(self, plan: VersionPlan, ages: dict[str, float]) -> None:
         by_decider: dict[str, dict[str, float]] = {}
@@ -300,7 +300,7 @@
                 by_decider.setdefault(name, {})[session] = age_s
         for name, theirs in by_decider.items():
             if name == self._me:
-                plan.pins.take_uses(theirs, now())
+                plan.pins.record_in_use(theirs, now())
             else:
                 self._send_uses(name, plan, theirs, [])
 
--- a/src/baobabthread/instance/trialdesk.py
+++ b/src/baobabthread/instance/trialdesk.py
@@ -13,11 +13,11 @@
 
 from baobabthread.core.rendezvous import rank
 from baobabthread.instance.clock import now
+from baobabthread.routing.canary import Evidence
 from baobabthread.routing.configuration import RolloutState
 from baobabthread.routing.exposure import Exposure
-from baobabthread.routing.permission import PERMIT_S
+from baobabthread.routing.permission import PERMIT_TTL_S
 from baobabthread.routing.progress import Progress
-from baobabthread.routing.trial import Evidence
 
 LEADERS = 2
 """Instances that are told: the one that leads, and the next one should it be lost."""
@@ -158,7 +158,7 @@
         return found
 
     def _needs_permit(self, left_s: float) -> bool:
-        return left_s < min(NEED_S, PERMIT_S - self._choose_pause() - RETRY_S)
+        return left_s < min(NEED_S, PERMIT_TTL_S - self._choose_pause() - RETRY_S)
 
     def leads(self, service: str) -> bool:
         """Tell whether this instance leads the roll-outs of a service."""
@@ -169,7 +169,7 @@
         words = self._words.get(service, {})
         return [word for word in words.values() if word.progress.number == number]
 
-    def tell(self, word: TrialWord, *, permit_s: float = PERMIT_S) -> None:
+    def tell(self, word: TrialWord, *, permit_s: float = PERMIT_TTL_S) -> None:
         """Send word to the leaders when it is due, and news or a permit needs it.
 
         `permit_s` are the seconds until the present permit runs out.
@@ -201,7 +201,7 @@
             pause_s = max(TELL_S, END_PART * pause_s)
         if passed_s < pause_s:
             return False
-        is_old = passed_s >= REPEAT_S or permit_s < RENEW_PART * PERMIT_S
+        is_old = passed_s >= REPEAT_S or permit_s < RENEW_PART * PERMIT_TTL_S
         return is_old or not self._is_known(word)
 
     def _is_unanswered(self, service: str, moment: float) -> bool:
--- a/src/baobabthread/instance/turns.py
+++ b/src/baobabthread/instance/turns.py
@@ -80,7 +80,7 @@
 
     def finish(self, ticket: str, flight: RequestContext, state: ServiceState) -> None:
         """Give a place back and start who is next."""
-        state.queue.finished(ticket, flight.work_ms, now())
+        state.queue.finish(ticket, flight.work_ms, now())
         self._pump(state)
 
     def _describe(self, flight: RequestContext, ticket: str) -> Waiting:
@@ -101,7 +101,7 @@
     ) -> None:
         if turn.done() and not turn.cancelled():
             # Its turn came in the moment in which its caller left.
-            state.queue.finished(ticket, 0, now())
+            state.queue.finish(ticket, 0, now())
             self._pump(state)
             return
         self._waiting.pop(ticket, None)
--- a/src/baobabthread/routing/changelog.py
+++ b/src/baobabthread/routing/changelog.py
@@ -12,40 +12,40 @@
     __slots__ = ("_at", "_from", "_unread", "newest")
 
     def __init__(self) -> None:
-        self._at: dict[str, int] = {}
-        self._from: int | None = None
+        self._offsets: dict[str, int] = {}
+        self._complete_from: int | None = None
         """Offset from which on all changes are remembered."""
-        self._unread: set[str] = set()
+        self._pending: set[str] = set()
         self.newest = 0
         """Offset up to which reading last changed anything."""
 
     @property
-    def has_unread(self) -> bool:
+    def has_pending(self) -> bool:
         """Tell whether anything changed since the last read."""
-        return bool(self._unread)
+        return bool(self._pending)
 
     def add(self, id: str) -> None:
         """Note a change, by whatever made it known."""
-        self._unread.add(id)
+        self._pending.add(id)
 
-    def note_read(self, at: int) -> None:
+    def record_read(self, offset: int) -> None:
         """Note that all that changed so far did so up to an offset."""
-        if self._from is None:
-            self._from = at
-            self._unread.clear()
-            self.newest = at
-        if self._unread:
-            self.newest = at
-        for id in self._unread:
-            self._at.pop(id, None)
-            self._at[id] = at
-        self._unread.clear()
-        while len(self._at) > MAX_CHANGES:
-            self._from = self._at.pop(next(iter(self._at)))
-
-    def list_since(self, offset: int, *, most: int) -> list[str] | None:
+        if self._complete_from is None:
+            self._complete_from = offset
+            self._pending.clear()
+            self.newest = offset
+        if self._pending:
+            self.newest = offset
+        for id in self._pending:
+            self._offsets.pop(id, None)
+            self._offsets[id] = offset
+        self._pending.clear()
+        while len(self._offsets) > MAX_CHANGES:
+            self._complete_from = self._offsets.pop(next(iter(self._offsets)))
+
+    def list_since(self, offset: int, *, limit: int) -> list[str] | None:
         """Return what changed since an offset; nothing if that isn't known or long."""
-        if self._from is None or offset < self._from:
+        if self._complete_from is None or offset < self._complete_from:
             return None
-        ids = [id for id, at in self._at.items() if at > offset]
-        return ids if len(ids) <= most else None
+        ids = [id for id, at in self._offsets.items() if at > offset]
+        return ids if len(ids) <= limit else None
--- a/src/baobabthread/routing/pauses.py
+++ b/src/baobabthread/routing/gaps.py
@@ -4,21 +4,21 @@
 
 QUANTILE = 0.99
 """Part of the pauses that the followed one is longer than."""
-STEP = 0.1
+QUANTILE_STEP = 0.1
 """Step by which it follows each pause."""
-FIRST_S = 0.3
+INITIAL_GAP_S = 0.3
 """What is assumed before any event."""
-PATIENCE_FACTOR = 2.0
+TIMEOUT_FACTOR = 2.0
 """Times that pause for which an engine's silence is borne."""
-LEAST_PATIENCE_S = 0.7
+MIN_TIMEOUT_S = 0.7
 """Silence that is always borne; an engine that runs makes a token every few
 milliseconds when nothing else is to be read."""
-MOST_PATIENCE_S = 1.6
+MAX_TIMEOUT_S = 1.6
 """Silence after which an engine is given up whatever it did before: callers leave soon
 after it."""
 
 
-class Pauses:
+class InterEventGaps:
     """Follow the long pauses of each service's streams.
 
     Engines read the prompts of others between the tokens of a stream, one long part
@@ -29,15 +29,15 @@
     __slots__ = ("_long_s",)
 
     def __init__(self) -> None:
-        self._long_s: dict[str, float] = {}
+        self._quantiles_s: dict[str, float] = {}
 
-    def observe(self, service: str, pause_s: float) -> None:
+    def observe(self, service: str, gap_s: float) -> None:
         """Take in a pause, also one that was given up at its end."""
-        long_s = self._long_s.get(service, FIRST_S)
-        part = QUANTILE if pause_s > long_s else QUANTILE - 1.0
-        self._long_s[service] = long_s * (1.0 + STEP * part)
+        quantile_s = self._quantiles_s.get(service, INITIAL_GAP_S)
+        weight = QUANTILE if gap_s > quantile_s else QUANTILE - 1.0
+        self._quantiles_s[service] = quantile_s * (1.0 + QUANTILE_STEP * weight)
 
-    def patience_s(self, service: str) -> float:
+    def timeout_s(self, service: str) -> float:
         """Return the silence within a stream after which its engine is given up."""
-        long_s = self._long_s.get(service, FIRST_S)
-        return min(MOST_PATIENCE_S, max(LEAST_PATIENCE_S, PATIENCE_FACTOR * long_s))
+        quantile_s = self._quantiles_s.get(service, INITIAL_GAP_S)
+        return min(MAX_TIMEOUT_S, max(MIN_TIMEOUT_S, TIMEOUT_FACTOR * quantile_s))
--- a/src/baobabthread/routing/knowledge.py
+++ b/src/baobabthread/routing/knowledge.py
@@ -211,7 +211,7 @@
 
     @property
     def _has_open(self) -> bool:
-        return bool(self._held) or self._log.has_unread
+        return bool(self._held) or self._log.has_pending
 
     def _note_decided(self) -> None:
         if not self._has_open:
@@ -224,7 +224,7 @@
             record = msgspec.structs.replace(record, cold_left_s=0.0)
         self._held.pop(record.id, None)
         known = self.backends.get(record.id)
-        if known == record or not self._starts.note(record):
+        if known == record or not self._starts.record_start(record):
             return False
         is_same_start = known is not None and known.started_ms == record.started_ms
         if known is not None and is_same_start and known.leaving and not record.leaving:
@@ -309,7 +309,7 @@
         self, since: int, now: float, *, most: int
     ) -> BackendChanges | None:
         """Return what changed since an offset; nothing if that isn't known or long."""
-        ids = self._log.list_since(since, most=most)
+        ids = self._log.list_since(since, limit=most)
         if ids is None:
             return None
         return BackendChanges(
@@ -333,7 +333,7 @@
 
     def _note_changes(self, at: int | None = None) -> None:
         """Note that all that changed so far did so up to an offset, the end if none."""
-        self._log.note_read(self.backends_end if at is None else at)
+        self._log.record_read(self.backends_end if at is None else at)
         self._note_decided()
 
     # -- ages --
--- a/src/baobabthread/routing/lineage.py
+++ b/src/baobabthread/routing/lineage.py
@@ -19,27 +19,27 @@
         self._target: str | None = None
         self.base: str | None = None
         """The version in force beside the target, once it is known."""
-        self.rejected: set[str] = set()
+        self.rolled_back: set[str] = set()
         """Targets of earlier orders that were taken back."""
 
-    def note_listed(self, listed: Mapping[str, int]) -> None:
+    def observe_listed(self, listed: Mapping[str, int]) -> None:
         """Learn the version in force while just one is listed."""
         if len(listed) == 1:
             self.base = next(iter(listed))
 
-    def open(self, target: str) -> None:
+    def start_rollout(self, target: str) -> None:
         """Begin with an order's target; it may be one that was taken back before."""
         self._target = target
-        self.rejected.discard(target)
+        self.rolled_back.discard(target)
 
-    def close(self, target: str, *, has_succeeded: bool) -> None:
+    def end_rollout(self, target: str, *, has_succeeded: bool) -> None:
         """Note what became of the order before."""
         if has_succeeded:
             self.base = target
         else:
-            self.rejected.add(target)
+            self.rolled_back.add(target)
 
-    def learn(self, base: str | None) -> None:
+    def adopt_base(self, base: str | None) -> None:
         """Take another instance's word where nothing is known here."""
         if self.base is None and base != self._target:
             self.base = base
@@ -50,7 +50,7 @@
         Failure: taken for the version in force, one that was taken back gets all that
         isn't on trial, and its failures pass for the usual ones.
         """
-        found = [v for v in listed if v != self._target and v not in self.rejected]
+        found = [v for v in listed if v != self._target and v not in self.rolled_back]
         if self.base in found:
             return self.base
         # Nobody told of it: the one with most servers has been there for longest, and
--- a/src/baobabthread/routing/permission.py
+++ b/src/baobabthread/routing/permission.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-PERMIT_S = 2.5
+PERMIT_TTL_S = 2.5
 """Time for which a trial goes on without another word that it has not ended."""
 NEVER_S = 1e9
 
@@ -23,16 +23,16 @@
         self._confirmed_until = -NEVER_S
         self._admits = True
 
-    def permit(self, *, asked_at: float, admits: bool) -> None:
+    def permit(self, *, requested_at: float, admits: bool) -> None:
         """Take the leader's word, as of when it was asked."""
-        if -NEVER_S < self._permitted_until < asked_at:
-            self.renewed_at = asked_at
-        self._permitted_until = max(self._permitted_until, asked_at + PERMIT_S)
+        if -NEVER_S < self._permitted_until < requested_at:
+            self.renewed_at = requested_at
+        self._permitted_until = max(self._permitted_until, requested_at + PERMIT_TTL_S)
         self._admits = admits
 
-    def confirm(self, *, asked_at: float) -> None:
+    def confirm(self, *, requested_at: float) -> None:
         """Take the store's word that the roll-out has not ended."""
-        self._confirmed_until = max(self._confirmed_until, asked_at + PERMIT_S)
+        self._confirmed_until = max(self._confirmed_until, requested_at + PERMIT_TTL_S)
 
     def permitted_s(self, now: float) -> float:
         """Return the seconds until the leader's word lapses."""
--- a/src/baobabthread/routing/pins.py
+++ b/src/baobabthread/routing/pins.py
@@ -18,12 +18,12 @@
         "_on_new",
         "_on_old",
         "_running_old",
-        "pause_s",
+        "idle_s",
     )
 
-    def __init__(self, *, pause_s: float) -> None:
+    def __init__(self, *, idle_s: float) -> None:
         """Note the pause after which a session may change its version."""
-        self.pause_s = pause_s
+        self.idle_s = idle_s
         self._on_old: dict[str, float] = {}
         """Sessions whose requests went to the old version from here, and when last;
         also before any order, which may come in the middle of a conversation."""
@@ -36,36 +36,36 @@
         self._admitted: dict[str, bool] = {}
         """Those that were let onto the new one, and whether a request ran there."""
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Forget what an earlier order has decided."""
         self._on_new.clear()
         self._in_use.clear()
         self._admitted.clear()
 
-    def start_old(self, session: str, now: float) -> None:
+    def record_old_started(self, session: str, now: float) -> None:
         """Note a request on the old version from here."""
         self._running_old[session] += 1
-        self._note_old(session, now)
+        self._record_old(session, now)
 
-    def end_old(self, session: str, now: float) -> None:
+    def record_old_ended(self, session: str, now: float) -> None:
         """Note its end."""
         self._running_old[session] -= 1
         if self._running_old[session] <= 0:
             del self._running_old[session]
-        self._note_old(session, now)
+        self._record_old(session, now)
 
-    def _note_old(self, session: str, now: float) -> None:
+    def _record_old(self, session: str, now: float) -> None:
         self._on_old[session] = now
         if len(self._on_old) > MAX_SESSIONS:
             self._on_old = self._find_recent(self._on_old, now)
 
-    def note_new(self, session: str, now: float) -> bool:
+    def record_new(self, session: str, now: float) -> bool:
         """Note a request on the new version from here; return whether it is news."""
-        is_news = session not in self._on_new
+        is_first = session not in self._on_new
         self._on_new[session] = now
         if len(self._on_new) > MAX_SESSIONS:
             self._on_new = self._find_recent(self._on_new, now)
-        return is_news
+        return is_first
 
     def is_on_new(self, session: str) -> bool:
         """Tell whether a session is known to be on the new version."""
@@ -95,9 +95,9 @@
 
     def is_in_use(self, session: str, now: float) -> bool:
         """Tell whether a session is in use on the old version."""
-        return now - self._in_use.get(session, -NEVER_S) < self.pause_s
+        return now - self._in_use.get(session, -NEVER_S) < self.idle_s
 
-    def keep(self, session: str, now: float) -> None:
+    def keep_old(self, session: str, now: float) -> None:
         """Leave a session on the old version."""
         self._in_use[session] = now
 
@@ -109,7 +109,7 @@
         """Tell whether a session was let onto the new version."""
         return session in self._admitted
 
-    def take_uses(self, ages: Mapping[str, float], now: float) -> None:
+    def record_in_use(self, ages: Mapping[str, float], now: float) -> None:
         """Note sessions on the old version and the seconds since their last request."""
         for session, age_s in ages.items():
             used_at = max(self._in_use.get(session, -NEVER_S), now - age_s)
@@ -118,11 +118,13 @@
             if self._admitted.get(session) is False:
                 del self._admitted[session]
 
-    def take_moved(self, sessions: Iterable[str]) -> None:
+    def record_moved(self, sessions: Iterable[str]) -> None:
         """Note sessions of which a request ran on the new version."""
         for session in sessions:
             self._admitted[session] = True
 
     def _find_recent(self, seen: dict[str, float], now: float) -> dict[str, float]:
-        recent = now - self.pause_s
-        return {session: at for session, at in seen.items() if at > recent}
+        cutoff = now - self.idle_s
+        return {
+            session: used_at for session, used_at in seen.items() if used_at > cutoff
+        }
--- a/src/baobabthread/routing/starts.py
+++ b/src/baobabthread/routing/starts.py
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         self._newest: dict[str, int] = {}
 
-    def note(self, record: BackendRecord) -> bool:
+    def record_start(self, record: BackendRecord) -> bool:
         """Return whether this is the newest start of the server that is known.
 
         A server that starts again under its id is still named by late records of its
--- a/tests/instance/test_quarantine.py
+++ b/tests/instance/test_quarantine.py
@@ -64,7 +64,7 @@
     desk, _ = make_desk()
     plan = VersionPlan(service="s", bounds=RoutingBounds())
     order = RolloutOrder(number=1, service="s", target="v2", time_limit_s=60.0)
-    plan.take_order(order, now())
+    plan.apply_order(order, now())
     desk.is_canary = lambda service, version: plan.is_unproven(version)
     for number in range(3):
         desk.handle_crash(
@@ -80,7 +80,7 @@
     status = RolloutStatus(
         service="s", target="v2", state=RolloutState.REVERTED, number=1
     )
-    plan.take_status(status, now())
+    plan.apply_status(status, now())
     time.sleep(SETTLE_S + module.OWNER_COUNT * module.OWNER_STAGGER_S)
     desk.tick()
     assert not desk.has_entries
--- a/tests/instance/test_selection.py
+++ b/tests/instance/test_selection.py
@@ -57,11 +57,11 @@
 
 def make_plan() -> VersionPlan:
     plan = VersionPlan(service="content", bounds=RoutingBounds(exposure_share=0.1))
-    plan.note_versions({"v1": 2})
+    plan.update_versions({"v1": 2})
     order = RolloutOrder(number=1, service="content", target="v2", time_limit_s=60.0)
-    plan.take_order(order, now() - 10.0)
-    plan.note_target(usable=True, now=now() - 9.0)
-    plan.permit(asked_at=now())
+    plan.apply_order(order, now() - 10.0)
+    plan.update_target(usable=True, now=now() - 9.0)
+    plan.permit(requested_at=now())
     return plan
 
 
@@ -97,17 +97,17 @@
     servers, plan = Servers(), make_plan()
     flight = make_flight("s")
     assert choose(servers, flight, plan) == "old1"
-    inside = plan.may_move_early(flight.session)
+    inside = plan.may_join_canary(flight.session)
     assert flight.version_reason is (
-        VersionReason.KEPT if inside else VersionReason.NOT_ON_TRIAL
+        VersionReason.KEPT if inside else VersionReason.NOT_CANARY
     )
     flight = make_moved()
     choose(servers, flight, plan)
-    assert flight.version_reason is VersionReason.ON_TRIAL
-    plan.trial.alarm = "errors"
+    assert flight.version_reason is VersionReason.CANARY
+    plan.analysis.alarm = "errors"
     flight = make_moved()
     assert choose(servers, flight, plan) == "old1"
-    assert flight.version_reason is VersionReason.TAKEN_BACK
+    assert flight.version_reason is VersionReason.ROLLED_BACK
 
 
 def test_leave_the_new_version_only_when_no_word_is_left() -> None:
@@ -116,5 +116,5 @@
     flight = make_moved()
     assert choose(servers, flight, plan) == "old1"
     assert flight.version_reason is VersionReason.NO_PERMIT
-    plan.permission.confirm(asked_at=now())
+    plan.permission.confirm(requested_at=now())
     assert choose(servers, make_moved(), plan) == "canary"
--- a/tests/instance/test_sessions.py
+++ b/tests/instance/test_sessions.py
@@ -19,7 +19,7 @@
 )
 from baobabthread.routing.bounds import RoutingBounds
 from baobabthread.routing.configuration import RolloutOrder
-from baobabthread.routing.exposure import EndRoom
+from baobabthread.routing.exposure import FinalPhaseBudget
 from baobabthread.routing.permission import Permission
 from baobabthread.routing.versions import VersionPlan
 
@@ -39,9 +39,9 @@
         self.count = 0
         for name in NAMES:
             plan = VersionPlan(service="s", bounds=RoutingBounds(exposure_share=1.0))
-            plan.take_order(ORDER, now() - 10.0)
-            plan.note_target(usable=True, now=now() - 9.0)
-            plan.permit(asked_at=now() + 60.0)
+            plan.apply_order(ORDER, now() - 10.0)
+            plan.update_target(usable=True, now=now() - 9.0)
+            plan.permit(requested_at=now() + 60.0)
             self.restart(name, plan)
 
     def restart(self, name: str, plan: VersionPlan) -> None:
@@ -67,7 +67,7 @@
 def find_contested(net: Net) -> list[str]:
     plan = net.plans["i1"]
     names = [f"s{n}" for n in range(60)]
-    return [s for s in names if plan.is_contested(s, now())]
+    return [s for s in names if plan.needs_owner_decision(s, now())]
 
 
 def find_asked(net: Net) -> tuple[str, str, str]:
@@ -102,7 +102,7 @@
         seen_at = "i2"
         plan = net.plans[seen_at]
         for session in find_contested(net):
-            plan.started_old(session, now())
+            plan.record_old_started(session, now())
         net.desks[seen_at].begin(plan)
         for session in find_contested(net):
             for name in NAMES:
@@ -140,7 +140,7 @@
         plan, desk = net.plans[seen_at], net.desks[seen_at]
         contested = find_contested(net)
         for session in contested:
-            plan.started_old(session, now())
+            plan.record_old_started(session, now())
         net.lost = True
         desk.begin(plan)
         net.lost = False
@@ -169,12 +169,12 @@
         plan = net.plans[seen_at]
         contested = find_contested(net)
         for session in contested:
-            plan.started_old(session, now())
+            plan.record_old_started(session, now())
         net.desks[seen_at].begin(plan)
         fresh = VersionPlan(service="s", bounds=RoutingBounds(exposure_share=1.0))
-        fresh.take_order(ORDER, now() - 10.0, saw_before=False)
-        fresh.note_target(usable=True, now=now() - 9.0)
-        fresh.permit(asked_at=now() + 60.0)
+        fresh.apply_order(ORDER, now() - 10.0, served_before_order=False)
+        fresh.update_target(usable=True, now=now() - 9.0)
+        fresh.permit(requested_at=now() + 60.0)
         net.restart("i1", fresh)
         for session in contested:
             for name in NAMES:
@@ -195,7 +195,7 @@
         session = next(s for s in find_contested(net) if rank(s, NAMES)[0] == "i3")
         net.desks["i1"].set_members(["i1", "i3"])
         net.lose[VersionIs] = 2
-        net.plans["i1"].saw_before = False
+        net.plans["i1"].served_before_order = False
         assert not await desk.decide(plan, session)
         assert not await net.desks["i2"].decide(net.plans["i2"], session)
 
@@ -239,7 +239,7 @@
         assert await desk.decide(plan, session)
         desk.note_new(plan, session)
         for each in net.plans.values():
-            each.permit(asked_at=now(), admits=False)
+            each.permit(requested_at=now(), admits=False)
         left = [name for name in NAMES if name != first]
         for name in left:
             net.desks[name].set_members(left)
@@ -261,7 +261,7 @@
         desk.set_members(["i1"])
         for name in (first, second):
             fresh = VersionPlan(service="s", bounds=RoutingBounds(exposure_share=1.0))
-            fresh.take_order(ORDER, now() - 10.0, saw_before=False)
+            fresh.apply_order(ORDER, now() - 10.0, served_before_order=False)
             net.restart(name, fresh)
         desk.set_members(NAMES)
         assert net.plans[first].pins.is_admitted(session)
@@ -276,12 +276,12 @@
     async def case() -> None:
         net = Net()
         fresh = VersionPlan(service="s", bounds=RoutingBounds(exposure_share=0.1))
-        fresh.take_order(ORDER, now() - 55.0, saw_before=False)
-        fresh.note_target(usable=True, now=now() - 50.0)
+        fresh.apply_order(ORDER, now() - 55.0, served_before_order=False)
+        fresh.update_target(usable=True, now=now() - 50.0)
         for name in NAMES:
             net.restart(name, fresh)
-        outside = next(f"s{n}" for n in range(60) if not fresh.may_move_early(f"s{n}"))
-        assert fresh.is_contested(outside, now())
+        outside = next(f"s{n}" for n in range(60) if not fresh.may_join_canary(f"s{n}"))
+        assert fresh.needs_owner_decision(outside, now())
         assert not await net.desks["i1"].decide(fresh, outside)
 
     asyncio.run(case())
@@ -296,14 +296,14 @@
         net = Net()
         plan, desk = net.plans["i1"], net.desks["i1"]
         session = next(s for s in find_contested(net) if rank(s, NAMES)[0] == "i2")
-        plan.started_old(session, now())
+        plan.record_old_started(session, now())
         desk.begin(plan)
         began = now()
         for seconds in range(2, 20, 2):
             later = began + seconds
             monkeypatch.setattr(sessions, "now", lambda later=later: later)
             for each in net.plans.values():
-                each.permit(asked_at=later)
+                each.permit(requested_at=later)
             desk.tick()
         assert not await net.desks["i3"].decide(net.plans["i3"], session)
 
@@ -317,13 +317,13 @@
         net = Net()
         session, first, second = find_asked(net)
         plan = net.plans["i1"]
-        plan.started_old(session, now())
+        plan.record_old_started(session, now())
         net.desks[second].handle(
             "i1", SessionsInUse(sequence=1, service="s", number=1, ages={session: 0.0})
         )
         permission = Permission()
-        permission.permit(asked_at=now() - 9.0, admits=True)
-        permission.permit(asked_at=now(), admits=True)
+        permission.permit(requested_at=now() - 9.0, admits=True)
+        permission.permit(requested_at=now(), admits=True)
         net.plans[first].permission = permission
         assert not await net.desks["i1"].decide(plan, session)
 
@@ -337,7 +337,7 @@
         desk.begin(plan)
         session, _, _ = find_asked(net)
         desk.set_members(["i1"])
-        plan.started_old(session, now())
+        plan.record_old_started(session, now())
         desk.note_use(plan, session)
         desk.set_members(NAMES)
         for name in rank(session, NAMES)[:2]:
@@ -353,8 +353,8 @@
         net = Net()
         session, first, second = find_asked(net)
         for plan in net.plans.values():
-            plan.begin_final(now(), part=0.0)
-        net.plans[first].end_room = EndRoom(part=9.0)
+            plan.begin_final_phase(now(), quota=0.0)
+        net.plans[first].final_budget = FinalPhaseBudget(quota=9.0)
         desk, plan = net.desks["i1"], net.plans["i1"]
         assert await desk.decide(plan, session)
         net.lose[AskVersion] = 1
@@ -369,8 +369,8 @@
         net = Net()
         session, first, second = find_asked(net)
         for plan in net.plans.values():
-            plan.begin_final(now(), part=0.0)
-        net.plans[second].end_room = EndRoom(part=9.0)
+            plan.begin_final_phase(now(), quota=0.0)
+        net.plans[second].final_budget = FinalPhaseBudget(quota=9.0)
         net.lose[AskVersion] = 1
         desk, plan = net.desks["i1"], net.plans["i1"]
         assert await desk.decide(plan, session)
--- a/tests/instance/test_trialdesk.py
+++ b/tests/instance/test_trialdesk.py
@@ -17,9 +17,9 @@
     TrialVerdict,
     TrialWord,
 )
+from baobabthread.routing.canary import Evidence
 from baobabthread.routing.configuration import RolloutState
 from baobabthread.routing.progress import Progress
-from baobabthread.routing.trial import Evidence
 
 
 class Clock:
--- a/tests/platform/test_streams.py
+++ b/tests/platform/test_streams.py
@@ -158,9 +158,9 @@
             order = RolloutOrder(
                 number=1, service="engine", target="v2", time_limit_s=60
             )
-            plan.take_order(order, now() - 10.0)
-            plan.note_target(usable=True, now=now() - 9.0)
-            plan.permit(asked_at=now() + 60.0)
+            plan.apply_order(order, now() - 10.0)
+            plan.update_target(usable=True, now=now() - 9.0)
+            plan.permit(requested_at=now() + 60.0)
             assert any(plan.choose(flight.session, now()) for flight in flights)
             versions = {selection.choose_version(flight, plan) for flight in flights}
             assert versions == {"v1"}
--- a/tests/routing/test_trial.py
+++ b/tests/routing/test_canary.py
@@ -4,74 +4,86 @@
 
 import pytest
 
+from baobabthread.routing.canary import CanaryAnalysis, SentAttempt
 from baobabthread.routing.configuration import RolloutOrder
-from baobabthread.routing.trial import Sent, Trial
 from baobabthread.routing.versions import VersionPlan
 from tests.routing.rollouts import (
     BOUNDS,
     LIMIT_S,
-    begin,
+    begin_rollout,
     observe_latency,
-    prove,
+    observe_responses,
 )
 
 
-def feed(trial: Trial, *, on_trial: bool, count: int, bad_every: int) -> int:
+def feed(
+    analysis: CanaryAnalysis, *, is_canary: bool, count: int, bad_every: int
+) -> int:
     """Feed answers of which each so-many-th fails; return how many until the alarm."""
     for number in range(1, count + 1):
-        trial.observe(
-            on_trial=on_trial,
+        analysis.observe_response(
+            is_canary=is_canary,
             call="c",
             kind="c",
             failed=bool(bad_every) and number % bad_every == 0,
             latency_s=0.1,
         )
-        if trial.alarm is not None:
+        if analysis.alarm is not None:
             return number
     return count + 1
 
 
-def send(trial: Trial, *, on_trial: bool, at: float) -> int:
-    return trial.begin(
-        Sent(on_trial=on_trial, call="c", kind="c", at=at, expected_s=0.1)
+def send(analysis: CanaryAnalysis, *, is_canary: bool, at: float) -> int:
+    return analysis.start_attempt(
+        SentAttempt(is_canary=is_canary, call="c", kind="c", at=at, expected_s=0.1)
     )
 
 
-def make_trial() -> Trial:
+def make_analysis() -> CanaryAnalysis:
     """Return a trial for which the old version has answered in twice the least time."""
-    trial = Trial(number=1)
+    trial = CanaryAnalysis(number=1)
     for _ in range(60):
-        trial.end(send(trial, on_trial=False, at=0.0), failed=False, now=0.2)
+        trial.finish_attempt(
+            send(trial, is_canary=False, at=0.0), failed=False, now=0.2
+        )
     return trial
 
 
 def test_find_a_version_that_fails_a_third_of_its_requests() -> None:
-    trial = Trial(number=1)
-    feed(trial, on_trial=False, count=200, bad_every=0)
-    assert feed(trial, on_trial=True, count=60, bad_every=3) <= 30
+    trial = CanaryAnalysis(number=1)
+    feed(trial, is_canary=False, count=200, bad_every=0)
+    assert feed(trial, is_canary=True, count=60, bad_every=3) <= 30
 
 
 def test_bear_failures_that_the_old_version_has_too() -> None:
-    trial = Trial(number=1)
-    feed(trial, on_trial=False, count=300, bad_every=7)
-    feed(trial, on_trial=True, count=300, bad_every=7)
+    trial = CanaryAnalysis(number=1)
+    feed(trial, is_canary=False, count=300, bad_every=7)
+    feed(trial, is_canary=True, count=300, bad_every=7)
     assert trial.alarm is None
 
 
 def test_find_a_version_that_is_slow() -> None:
-    trial = Trial(number=1)
-    feed(trial, on_trial=False, count=50, bad_every=0)
+    trial = CanaryAnalysis(number=1)
+    feed(trial, is_canary=False, count=50, bad_every=0)
     for _ in range(12):
-        trial.observe(on_trial=True, call="c", kind="c", failed=False, latency_s=0.8)
+        trial.observe_response(
+            is_canary=True, call="c", kind="c", failed=False, latency_s=0.8
+        )
     assert trial.alarm is not None
     assert "latency" in trial.alarm
 
 
-def answer_all(trial: Trial, latency_s: float, *, on_trial: bool, count: int) -> None:
+def respond_after(
+    analysis: CanaryAnalysis, latency_s: float, *, is_canary: bool, count: int
+) -> None:
     """Let an answer that was expected within ten milliseconds take so long."""
     for _ in range(count):
-        sent = Sent(on_trial=on_trial, call="c", kind="c", at=0.0, expected_s=0.01)
-        trial.end(trial.begin(sent), failed=False, now=latency_s)
+        sent = SentAttempt(
+            is_canary=is_canary, call="c", kind="c", at=0.0, expected_s=0.01
+        )
+        analysis.finish_attempt(
+            analysis.start_attempt(sent), failed=False, now=latency_s
+        )
 
 
 @pytest.mark.parametrize(("new_s", "is_worse"), [(0.015, False), (0.09, True)])
@@ -81,9 +93,9 @@
     On a busy machine that took over twice the usual few milliseconds, and a good
     version was taken back for it.
     """
-    trial = Trial(number=1)
-    answer_all(trial, 0.003 if new_s < 0.02 else 0.0225, on_trial=False, count=200)
-    answer_all(trial, new_s, on_trial=True, count=11)
+    trial = CanaryAnalysis(number=1)
+    respond_after(trial, 0.003 if new_s < 0.02 else 0.0225, is_canary=False, count=200)
+    respond_after(trial, new_s, is_canary=True, count=11)
     assert trial.looks_worse is is_worse
 
 
@@ -93,13 +105,13 @@
     The old version has as many late ones, spread out. In one clump they would win the
     bet and revert the version, though nine answers in ten are as fast as ever.
     """
-    trial = Trial(number=1)
+    trial = CanaryAnalysis(number=1)
     for number in range(160):
-        observe_latency(trial, 2.0 if number % 8 == 7 else 0.1, on_trial=False)
+        observe_latency(trial, 2.0 if number % 8 == 7 else 0.1, is_canary=False)
     for _ in range(109):
-        observe_latency(trial, 0.1, on_trial=True)
+        observe_latency(trial, 0.1, is_canary=True)
     for _ in range(13):
-        observe_latency(trial, 2.0, on_trial=True)
+        observe_latency(trial, 2.0, is_canary=True)
     assert trial.alarm is None
 
 
@@ -108,12 +120,12 @@
 
     Nothing runs on the old version any more that would show the same.
     """
-    plan = begin()
-    prove(plan)
-    plan.begin_final(23.0)
+    plan = begin_rollout()
+    observe_responses(plan)
+    plan.begin_final_phase(23.0)
     for number in range(40):
-        observe_latency(plan.trial, 2.0 if number % 2 else 0.1, on_trial=True)
-    assert plan.trial.alarm is None
+        observe_latency(plan.analysis, 2.0 if number % 2 else 0.1, is_canary=True)
+    assert plan.analysis.alarm is None
 
 
 def test_count_as_slow_what_should_have_been_answered() -> None:
@@ -121,34 +133,36 @@
 
     Only its fast answers would be known by then.
     """
-    trial = make_trial()
-    tickets = [send(trial, on_trial=True, at=10.0) for _ in range(4)]
-    trial.note_overdue(10.3)
+    trial = make_analysis()
+    tickets = [send(trial, is_canary=True, at=10.0) for _ in range(4)]
+    trial.count_overdue(10.3)
     assert "new_latency" not in trial.describe()
-    trial.note_overdue(10.6)
+    trial.count_overdue(10.6)
     assert "new_latency:4/4" in trial.describe()
     for ticket in tickets:
-        trial.end(ticket, failed=False, now=11.6)
+        trial.finish_attempt(ticket, failed=False, now=11.6)
     assert "new_latency:4/4" in trial.describe()
     assert "new_errors:0/4" in trial.describe()
 
 
 def test_count_nothing_for_attempts_that_say_nothing() -> None:
-    trial = make_trial()
-    trial.cancel(send(trial, on_trial=True, at=10.0))
-    trial.end(send(trial, on_trial=True, at=10.0), failed=None, now=10.1)
-    trial.note_overdue(20.0)
+    trial = make_analysis()
+    trial.cancel_attempt(send(trial, is_canary=True, at=10.0))
+    trial.finish_attempt(send(trial, is_canary=True, at=10.0), failed=None, now=10.1)
+    trial.count_overdue(20.0)
     assert "new" not in trial.describe()
-    trial.end(send(trial, on_trial=True, at=20.0), failed=None, now=21.0)
+    trial.finish_attempt(send(trial, is_canary=True, at=20.0), failed=None, now=21.0)
     assert "new_latency:1/1" in trial.describe()
 
 
 def test_expect_what_a_prompt_takes_that_nobody_has_kept() -> None:
     """Servers on trial read all of each prompt, three times as long as usual."""
-    trial = make_trial()
+    trial = make_analysis()
     for number in range(30):
-        sent = Sent(on_trial=True, call="c", kind="c", at=float(number), expected_s=0.3)
-        trial.end(trial.begin(sent), failed=False, now=number + 0.6)
+        sent = SentAttempt(
+            is_canary=True, call="c", kind="c", at=float(number), expected_s=0.3
+        )
+        trial.finish_attempt(trial.start_attempt(sent), failed=False, now=number + 0.6)
     assert "new_latency:0/30" in trial.describe()
 
 
@@ -157,10 +171,10 @@
 
     Their counts come by gossip, late and more than once; each counts once.
     """
-    trials = [Trial(number=1) for _ in range(3)]
+    trials = [CanaryAnalysis(number=1) for _ in range(3)]
     for trial in trials:
-        feed(trial, on_trial=False, count=30, bad_every=0)
-        feed(trial, on_trial=True, count=2, bad_every=1)
+        feed(trial, is_canary=False, count=30, bad_every=0)
+        feed(trial, is_canary=True, count=2, bad_every=1)
         assert trial.alarm is None
     first = trials[0]
     for _ in range(3):
@@ -178,11 +192,15 @@
     """
     plan = VersionPlan(service="s", bounds=BOUNDS)
     for _ in range(8):
-        plan.trial.end(send(plan.trial, on_trial=False, at=0.0), failed=False, now=0.2)
+        plan.analysis.finish_attempt(
+            send(plan.analysis, is_canary=False, at=0.0), failed=False, now=0.2
+        )
     order = RolloutOrder(number=1, service="s", target="v2", time_limit_s=LIMIT_S)
-    plan.take_order(order, 1.0)
+    plan.apply_order(order, 1.0)
     for _ in range(3):
-        plan.trial.end(send(plan.trial, on_trial=True, at=2.0), failed=False, now=2.9)
-    assert "new_latency:3/3" in plan.trial.describe()
-    assert "old" not in plan.trial.describe()
-    assert plan.trial.looks_worse
+        plan.analysis.finish_attempt(
+            send(plan.analysis, is_canary=True, at=2.0), failed=False, now=2.9
+        )
+    assert "new_latency:3/3" in plan.analysis.describe()
+    assert "old" not in plan.analysis.describe()
+    assert plan.analysis.looks_worse
--- a/tests/routing/test_exposure.py
+++ b/tests/routing/test_exposure.py
@@ -16,15 +16,15 @@
     RolloutState,
     RolloutStatus,
 )
+from baobabthread.routing.evaluation import evaluate_rollout, may_begin_final_phase
 from baobabthread.routing.exposure import (
     Bursts,
     Exposure,
     ExposureBudget,
+    ExposureTotals,
     Rate,
-    Totals,
-    find_trial_share,
+    find_canary_share,
 )
-from baobabthread.routing.judgment import judge_rollout, may_begin_final
 from baobabthread.routing.versions import VersionPlan
 
 BOUNDS = RoutingBounds(exposure_share=0.15, exposure_extra=30.0)
@@ -59,25 +59,25 @@
 @pytest.mark.parametrize("limit_s", [4.0, 8.0, 14.0, 24.0, 600.0])
 def test_leave_enough_of_the_bound_for_the_end(share: float, limit_s: float) -> None:
     bounds = RoutingBounds(exposure_share=share)
-    trial = find_trial_share(bounds, limit_s)
+    trial = find_canary_share(bounds, limit_s)
     assert 0.15 * share <= trial <= 0.6 * share
 
 
 def test_let_little_more_than_the_usual_rate_go_there_at_the_end() -> None:
     """A burst comes in the second in which the new version takes over."""
     budget = ExposureBudget()
-    budget.begin_final(14.0)
+    budget.begin_final_phase(14.0)
     assert 14 <= sum(budget.try_reserve(0.1) for _ in range(100)) <= 24
 
 
 @pytest.mark.parametrize("servers", [1, 2, 3, 5, 9, 45, 63])
 def test_load_the_few_servers_on_trial_as_all_would_be(servers: int) -> None:
     """A version that fails under load passes a trial that never loads a server."""
-    bursts = Bursts(trial_share=0.06, servers=servers)
+    bursts = Bursts(canary_share=0.06, servers=servers)
     full = 1.0 / servers
-    each = bursts.share / bursts.canaries
+    each = bursts.share / bursts.burst_servers
     assert each >= min(full, 0.5)
-    on = sum(bursts.is_on(number / 100) for number in range(6000)) / 6000
+    on = sum(bursts.is_active(number / 100) for number in range(6000)) / 6000
     assert on * bursts.share == pytest.approx(0.06, rel=0.1)
 
 
@@ -85,51 +85,51 @@
     rate = Rate()
     assert rate.per_s() == 0.0
     for second in range(20):
-        rate.note(100 * second if second < 10 else 1000, float(second))
+        rate.record(100 * second if second < 10 else 1000, float(second))
     assert rate.per_s() < 10.0
 
 
-def add_up(*, requests: int, exposed: int, rate: float = 0.0) -> Totals:
-    totals = Totals(bounds=BOUNDS)
-    totals.note([Exposure(requests=requests - int(rate), exposed=exposed)], 9.0)
-    totals.note([Exposure(requests=requests, exposed=exposed)], 10.0)
+def make_totals(*, requests: int, exposed: int, rate: float = 0.0) -> ExposureTotals:
+    totals = ExposureTotals(bounds=BOUNDS)
+    totals.record([Exposure(requests=requests - int(rate), exposed=exposed)], 9.0)
+    totals.record([Exposure(requests=requests, exposed=exposed)], 10.0)
     return totals
 
 
 def test_know_what_others_have_added_up() -> None:
     """One that began to lead in the end ended it by sums that lacked half of all."""
-    totals = Totals(bounds=BOUNDS)
+    totals = ExposureTotals(bounds=BOUNDS)
     known = Exposure(requests=3000, exposed=460, attempts=4000)
-    totals.note([Exposure(requests=1600, exposed=170, attempts=2100)], 10.0)
-    assert totals.may_take_over(elapsed_s=14.0, left_s=0.2)
-    totals.note([Exposure(requests=1600, exposed=170)], 10.1, known=known)
+    totals.record([Exposure(requests=1600, exposed=170, attempts=2100)], 10.0)
+    assert totals.may_promote(elapsed_s=14.0, left_s=0.2)
+    totals.record([Exposure(requests=1600, exposed=170)], 10.1, known=known)
     assert totals.total == known
-    assert not totals.may_take_over(elapsed_s=14.0, left_s=0.2)
+    assert not totals.may_promote(elapsed_s=14.0, left_s=0.2)
 
 
 def test_take_over_only_what_the_sum_bears() -> None:
-    totals = add_up(requests=1000, exposed=50)
+    totals = make_totals(requests=1000, exposed=50)
     assert totals.per_s(14.0) == pytest.approx(1000 / 14)
-    assert totals.may_take_over(elapsed_s=14.0, left_s=1.0)
-    assert not totals.may_take_over(elapsed_s=14.0, left_s=2.0)
-    over = add_up(requests=1000, exposed=200)
-    assert not over.may_take_over(elapsed_s=14.0, left_s=0.1)
-    assert not totals.may_take_over(elapsed_s=14.0, left_s=0.0)
+    assert totals.may_promote(elapsed_s=14.0, left_s=1.0)
+    assert not totals.may_promote(elapsed_s=14.0, left_s=2.0)
+    over = make_totals(requests=1000, exposed=200)
+    assert not over.may_promote(elapsed_s=14.0, left_s=0.1)
+    assert not totals.may_promote(elapsed_s=14.0, left_s=0.0)
 
 
 def test_count_attempts_for_the_end_where_requests_are_asked_again() -> None:
     """A third of the requests is asked again of a larger model, also at the end."""
-    totals = add_up(requests=1000, exposed=50)
-    assert totals.may_take_over(elapsed_s=14.0, left_s=1.1)
-    twice = Totals(bounds=BOUNDS)
-    twice.note([Exposure(requests=1000, exposed=50, attempts=1500)], 10.0)
-    assert not twice.may_take_over(elapsed_s=14.0, left_s=1.1)
+    totals = make_totals(requests=1000, exposed=50)
+    assert totals.may_promote(elapsed_s=14.0, left_s=1.1)
+    twice = ExposureTotals(bounds=BOUNDS)
+    twice.record([Exposure(requests=1000, exposed=50, attempts=1500)], 10.0)
+    assert not twice.may_promote(elapsed_s=14.0, left_s=1.1)
 
 
 def test_let_sessions_in_while_the_end_still_fits() -> None:
     def admits(exposed: int, left_s: float = 7.0) -> bool:
-        totals = add_up(requests=1000, exposed=exposed)
-        return totals.may_admit(elapsed_s=14.0, left_s=left_s, trial_share=0.09)
+        totals = make_totals(requests=1000, exposed=exposed)
+        return totals.may_admit(elapsed_s=14.0, left_s=left_s, canary_share=0.09)
 
     assert admits(90)
     assert not admits(110)
@@ -138,17 +138,17 @@
 
 
 def test_let_nobody_in_before_a_whole_attempt_is_earned() -> None:
-    totals = add_up(requests=10, exposed=0)
-    assert not totals.may_admit(elapsed_s=1.0, left_s=23.0, trial_share=0.06)
-    totals = add_up(requests=15, exposed=0)
-    assert totals.may_admit(elapsed_s=1.0, left_s=23.0, trial_share=0.06)
+    totals = make_totals(requests=10, exposed=0)
+    assert not totals.may_admit(elapsed_s=1.0, left_s=23.0, canary_share=0.06)
+    totals = make_totals(requests=15, exposed=0)
+    assert totals.may_admit(elapsed_s=1.0, left_s=23.0, canary_share=0.06)
 
 
 def test_notice_sessions_that_take_too_much() -> None:
     """A session on trial turns hot: it gets a large part of all requests."""
-    calm = add_up(requests=1000, exposed=90)
+    calm = make_totals(requests=1000, exposed=90)
     assert not calm.is_overdrawn(elapsed_s=14.0, left_s=10.0)
-    hot = add_up(requests=1000, exposed=240)
+    hot = make_totals(requests=1000, exposed=240)
     assert hot.is_overdrawn(elapsed_s=14.0, left_s=10.0)
 
 
@@ -157,11 +157,11 @@
 
     With the old version stopped all of them would meet the new one.
     """
-    calm = add_up(requests=1000, exposed=80, rate=70.0)
-    pressed = add_up(requests=1000, exposed=80, rate=300.0)
-    assert calm.may_end(elapsed_s=14.0, left_s=0.5)
-    assert not pressed.may_end(elapsed_s=14.0, left_s=0.5)
-    assert pressed.may_end(elapsed_s=14.0, left_s=0.15)
+    calm = make_totals(requests=1000, exposed=80, rate=70.0)
+    pressed = make_totals(requests=1000, exposed=80, rate=300.0)
+    assert calm.may_complete(elapsed_s=14.0, left_s=0.5)
+    assert not pressed.may_complete(elapsed_s=14.0, left_s=0.5)
+    assert pressed.may_complete(elapsed_s=14.0, left_s=0.15)
 
 
 @given(
@@ -188,7 +188,7 @@
     assert exposed <= BOUNDS.exposure_share * requests + BOUNDS.exposure_extra
 
 
-class View(msgspec.Struct):
+class MemberView(msgspec.Struct):
     """Hold what one instance knows and lives through."""
 
     plan: VersionPlan
@@ -208,7 +208,7 @@
         return self.frozen_from <= now < self.frozen_until
 
 
-class Rollout:
+class RolloutSimulation:
     """Play one roll-out of requests without sessions among differing instances.
 
     Sessions are decided on by messages: see `tests/bench/test_rollouts.py`.
@@ -224,14 +224,14 @@
         self.requests = 0
         self.exposed = 0
         self.counted: dict[int, Exposure] = {}
-        self.totals = Totals(bounds=BOUNDS)
+        self.totals = ExposureTotals(bounds=BOUNDS)
         self.state = RolloutState.RUNNING
         self.burst_at = self.rng.uniform(0.0, limit_s)
         self.views = [self._make_view() for _ in range(count)]
 
-    def _make_view(self) -> View:
+    def _make_view(self) -> MemberView:
         rng, limit = self.rng, self.limit_s
-        view = View(plan=self._make_plan(rng.choice((0.05, 0.3, 1.5))))
+        view = MemberView(plan=self._make_plan(rng.choice((0.05, 0.3, 1.5))))
         trouble = rng.choice(("none", "deaf", "alone", "frozen", "restarts"))
         if trouble == "deaf":
             view.deaf_from = rng.uniform(0.0, limit)
@@ -250,7 +250,7 @@
         self, learnt_at: float, elapsed_s: float | None = None
     ) -> VersionPlan:
         plan = VersionPlan(service="s", bounds=BOUNDS)
-        plan.take_order(self.order, learnt_at, saw_before=elapsed_s is None)
+        plan.apply_order(self.order, learnt_at, served_before_order=elapsed_s is None)
         if elapsed_s is not None:
             status = RolloutStatus(
                 service="s",
@@ -259,7 +259,7 @@
                 number=1,
                 elapsed_s=elapsed_s,
             )
-            plan.take_status(status, learnt_at)
+            plan.apply_status(status, learnt_at)
         return plan
 
     def play(self) -> None:
@@ -270,24 +270,24 @@
                 self._live(index, view, now)
             self._lead(now)
 
-    def _live(self, index: int, view: View, now: float) -> None:
+    def _live(self, index: int, view: MemberView, now: float) -> None:
         if view.starts and now >= view.starts[0]:
             view.starts.pop(0)
             view.plan = self._make_plan(now, elapsed_s=now)
         if view.is_frozen(now):
             return
         plan = view.plan
-        plan.note_target(usable=True, now=now, servers=SERVERS)
+        plan.update_target(usable=True, now=now, servers=SERVERS)
         woke = view.frozen_until <= now < view.frozen_until + STEP_S
         rate = self.rate * (2.5 if 0.0 <= now - self.burst_at < 3.0 else 1.0)
         count = rate * (view.frozen_until - view.frozen_from if woke else STEP_S)
         for _ in range(int(count + self.rng.random())):
             self._send(view, now)
-        plan.rate.note(plan.exposure.report().requests, now)
+        plan.rate.record(plan.exposure.report().requests, now)
         if view.hears(now):
             self.counted[id(plan)] = plan.exposure.report()
 
-    def _send(self, view: View, now: float) -> None:
+    def _send(self, view: MemberView, now: float) -> None:
         plan = view.plan
         if view.sessions and self.rng.random() < 0.5:
             session = self.rng.choice(view.sessions[-10:])
@@ -295,7 +295,7 @@
             session = str(self.rng.random())
             view.sessions.append(session)
         self.requests += 1
-        if plan.choose_free(session, now) and plan.try_expose(None, now):
+        if plan.choose_without_session(session, now) and plan.try_expose(None, now):
             plan.exposure.spend()
             self.exposed += 1
         if plan.state is RolloutState.RUNNING:
@@ -306,25 +306,25 @@
         if not hearing:
             return
         leader = hearing[0].plan
-        self.totals.note(self.counted.values(), now)
+        self.totals.record(self.counted.values(), now)
         for _ in range(2):
-            leader.trial.observe(
-                on_trial=True, call="c", kind="c", failed=False, latency_s=None
+            leader.analysis.observe_response(
+                is_canary=True, call="c", kind="c", failed=False, latency_s=None
             )
-        if may_begin_final(leader, self.totals, now):
-            leader.begin_final(now)
+        if may_begin_final_phase(leader, self.totals, now):
+            leader.begin_final_phase(now)
         if leader.is_running:
-            self.state = judge_rollout(leader, [], 0, now, totals=self.totals)
+            self.state = evaluate_rollout(leader, [], 0, now, totals=self.totals)
         for view in hearing:
-            view.plan.permit(asked_at=now)
+            view.plan.permit(requested_at=now)
             progress = leader.progress(now)
             if progress is not None:
-                view.plan.take_verdict(progress, now)
+                view.plan.apply_verdict(progress, now)
             if self.state is not RolloutState.RUNNING:
                 status = RolloutStatus(
                     service="s", target="v2", state=self.state, number=1
                 )
-                view.plan.take_status(status, now)
+                view.plan.apply_status(status, now)
 
 
 @pytest.mark.parametrize("limit_s", [8.0, 14.0, 24.0])
@@ -338,7 +338,9 @@
     at any moment. What it gets until the time limit stays within the bound.
     """
     for seed in range(12):
-        rollout = Rollout(count=count, limit_s=limit_s, rate=120.0 / count, seed=seed)
+        rollout = RolloutSimulation(
+            count=count, limit_s=limit_s, rate=120.0 / count, seed=seed
+        )
         rollout.play()
         allowed = BOUNDS.exposure_share * rollout.requests + BOUNDS.exposure_extra
         assert rollout.exposed <= allowed, f"seed {seed}"
--- a/tests/routing/test_models.py
+++ b/tests/routing/test_models.py
@@ -7,14 +7,14 @@
 from hypothesis import strategies as st
 
 from baobabthread.errors import UsageError
-from baobabthread.routing.models import MODEL_CHOICES, ModelQuestion
-from baobabthread.routing.pace import Pace
+from baobabthread.routing.latencies import LatencyModel
+from baobabthread.routing.models import MODEL_CHOICES, PendingResponse
 
 
-def ask(index: int, confidence: float | None, count: int = 3) -> int | None:
+def escalate(index: int, confidence: float | None, count: int = 3) -> int | None:
     staged = MODEL_CHOICES.get("staged")
     return staged.escalate(
-        ModelQuestion(count=count, index=index, confidence=confidence)
+        PendingResponse(count=count, index=index, confidence=confidence)
     )
 
 
@@ -33,13 +33,13 @@
 def test_ask_a_larger_model_by_confidence(
     index: int, confidence: float | None, follows: int | None
 ) -> None:
-    assert ask(index, confidence) == follows
+    assert escalate(index, confidence) == follows
 
 
 def test_have_nothing_beyond_the_last_model() -> None:
-    assert ask(0, 0.0, count=1) is None
-    assert ask(0, 0.55, count=2) == 1
-    assert MODEL_CHOICES.get("largest").begin(3) == 2
+    assert escalate(0, 0.0, count=1) is None
+    assert escalate(0, 0.55, count=2) == 1
+    assert MODEL_CHOICES.get("largest").choose_first(3) == 2
 
 
 def test_name_the_choices_there_are() -> None:
@@ -49,22 +49,36 @@
 
 
 def test_learn_how_long_answers_take() -> None:
-    pace = Pace()
+    pace = LatencyModel()
     for _ in range(100):
         pace.observe(
-            "s", "m", prompt=8000, shared=6000, first_s=1.0, rest_s=2.0, tokens=100
+            "s",
+            "m",
+            prompt_tokens=8000,
+            shared_tokens=6000,
+            first_s=1.0,
+            rest_s=2.0,
+            tokens=100,
         )
     assert pace.first_s("s", "m", 8000) == pytest.approx(1.0, rel=0.1)
     assert pace.first_s("s", "m", 0) < 0.3
-    assert pace.whole_s("s", "m", prompt=8000, tokens=100) == pytest.approx(3, rel=0.1)
+    assert pace.total_s("s", "m", prompt_tokens=8000, tokens=100) == pytest.approx(
+        3, rel=0.1
+    )
 
 
 def test_bear_a_few_stuck_answers() -> None:
-    pace = Pace()
+    pace = LatencyModel()
     for number in range(200):
         first_s = 30.0 if number % 20 == 0 else 0.1
         pace.observe(
-            "s", None, prompt=0, shared=0, first_s=first_s, rest_s=0.0, tokens=1
+            "s",
+            None,
+            prompt_tokens=0,
+            shared_tokens=0,
+            first_s=first_s,
+            rest_s=0.0,
+            tokens=1,
         )
     assert pace.first_s("s", None, 0) < 0.3
 
@@ -91,7 +105,7 @@
     Each doubtful answer that is asked of a large model takes ten times the work of a
     small one and comes too late; all others wait for it and are late as well.
     """
-    question = ModelQuestion(count=3, index=0, confidence=confidence, spare=spare)
+    question = PendingResponse(count=3, index=0, confidence=confidence, spare=spare)
     assert MODEL_CHOICES.get("staged").escalate(question) == chosen
 
 
@@ -116,8 +130,8 @@
     The larger model is asked where its answer helps most, and the others get what is
     at hand, so that the wait stays where answers are in time.
     """
-    question = ModelQuestion(
-        count=3, index=0, confidence=confidence, prices=(price / 10, price / 4, price)
+    question = PendingResponse(
+        count=3, index=0, confidence=confidence, costs=(price / 10, price / 4, price)
     )
     assert MODEL_CHOICES.get("staged").escalate(question) == chosen
 
@@ -128,12 +142,12 @@
     confidence: float, spare: float, price: float, more: float
 ) -> None:
     def ask_at(level: float) -> int:
-        question = ModelQuestion(
+        question = PendingResponse(
             count=3,
             index=0,
             confidence=confidence,
             spare=spare,
-            prices=(level / 10, level / 4, level),
+            costs=(level / 10, level / 4, level),
         )
         return MODEL_CHOICES.get("staged").escalate(question) or 0
 
--- a/tests/routing/test_queues.py
+++ b/tests/routing/test_queues.py
@@ -9,7 +9,7 @@
 
 from baobabthread.core.configuration.configuration import Priority
 from baobabthread.core.limits.fairness import Waiting
-from baobabthread.routing.queues import LEAST_RUNNING, ServiceQueue, classify
+from baobabthread.routing.queues import MIN_RUNNING, ServiceQueue, classify
 
 
 def waiting(
@@ -57,7 +57,7 @@
     queue.set_capacity(120, 6)
     assert queue.limit == 40
     queue.set_capacity(12, 60)
-    assert queue.limit == LEAST_RUNNING
+    assert queue.limit == MIN_RUNNING
 
 
 def test_serve_a_small_account_beside_a_large_one() -> None:
@@ -73,7 +73,7 @@
         queue.offer(waiting(f"small{number}", account="small"), 0.1, 0.0)
     order = []
     for number in range(6):
-        queue.finished(f"fill{number}", 100, 0.2)
+        queue.finish(f"fill{number}", 100, 0.2)
         found = queue.pop(0.2)
         assert found is not None
         order.append(found.request_id)
@@ -85,7 +85,7 @@
     fill(queue)
     queue.offer(waiting("draft", rank=2), 0.0, 0.0)
     queue.offer(waiting("notice", rank=0, account="b"), 0.1, 0.0)
-    queue.finished("fill0", 100, 0.2)
+    queue.finish("fill0", 100, 0.2)
     found = queue.pop(0.2)
     assert found is not None
     assert found.request_id == "notice"
@@ -104,7 +104,7 @@
     now = 0.0
     for number in range(20):
         now += 0.1
-        queue.finished(f"fill{number % 8}", 100, now)
+        queue.finish(f"fill{number % 8}", 100, now)
         queue.pop(now)
     late = queue.offer(waiting("late", deadline=now + 0.5), now, 0.0)
     assert not late.admitted
--- a/tests/routing/test_versions.py
+++ b/tests/routing/test_versions.py
@@ -3,22 +3,22 @@
 from __future__ import annotations
 
 from baobabthread.routing.configuration import RolloutOrder, RolloutState, RolloutStatus
-from baobabthread.routing.exposure import find_trial_share
-from baobabthread.routing.permission import PERMIT_S
+from baobabthread.routing.exposure import find_canary_share
+from baobabthread.routing.permission import PERMIT_TTL_S
 from baobabthread.routing.progress import Progress
 from baobabthread.routing.versions import VersionPlan
 from tests.routing.rollouts import (
     BOUNDS,
     LIMIT_S,
     SESSIONS,
-    begin,
+    begin_rollout,
     count_new,
 )
 
 
-def find_contested(plan: VersionPlan, now: float) -> str:
+def find_candidate(plan: VersionPlan, now: float) -> str:
     """Return a session whose turn comes while the version is on trial."""
-    return next(s for s in SESSIONS if plan.is_contested(s, now))
+    return next(s for s in SESSIONS if plan.needs_owner_decision(s, now))
 
 
 def test_give_nothing_before_an_order() -> None:
@@ -28,23 +28,23 @@
 
 
 def test_give_a_new_version_a_part_of_the_bound_at_first() -> None:
-    plan = begin()
+    plan = begin_rollout()
     assert count_new(plan, 0.5) == 0
     share = count_new(plan, 3.0) / len(SESSIONS)
-    assert 0.5 * find_trial_share(BOUNDS, LIMIT_S) < share < 0.2
+    assert 0.5 * find_canary_share(BOUNDS, LIMIT_S) < share < 0.2
 
 
 def test_give_nothing_while_no_server_runs_the_new_version() -> None:
-    plan = begin(ready_at=None)
+    plan = begin_rollout(ready_at=None)
     assert count_new(plan, 20.0) == 0
 
 
 def test_never_move_a_session_back_while_the_share_grows() -> None:
-    plan = begin()
+    plan = begin_rollout()
     moved: set[str] = set()
     for now in (3.0, 8.0, 12.5, 20.0, 22.5, 23.0):
         if now == 22.5:
-            plan.begin_final(now)
+            plan.begin_final_phase(now)
         new = {session for session in SESSIONS if plan.choose(session, now)}
         assert moved <= new
         moved = new
@@ -57,32 +57,32 @@
     Its turn for the new one has come, but a conversation that goes on would change its
     version in the middle; after a pause it may.
     """
-    plan = begin()
-    session = find_contested(plan, 3.0)
-    plan.pins.take_uses({session: 0.0}, 3.5)
+    plan = begin_rollout()
+    session = find_candidate(plan, 3.0)
+    plan.pins.record_in_use({session: 0.0}, 3.5)
     assert not plan.decide(session, 5.5)
     assert not plan.decide(session, 11.0)
     assert not plan.decide(session, 16.9)
-    plan.begin_final(17.0)
+    plan.begin_final_phase(17.0)
     assert plan.decide(session, 17.2)
     assert plan.decide(session, 23.9)
-    other = begin()
-    other.pins.take_uses({session: 0.0}, 3.5)
+    other = begin_rollout()
+    other.pins.record_in_use({session: 0.0}, 3.5)
     assert not other.decide(session, 4.0)
     assert other.decide(session, 10.1)
     assert other.decide(session, 10.2)
 
 
 def test_hand_over_the_sessions_seen_here() -> None:
-    plan, home = begin(), begin()
-    session = find_contested(plan, 3.0)
-    outside = next(s for s in SESSIONS if not plan.is_contested(s, 3.0))
+    plan, home = begin_rollout(), begin_rollout()
+    session = find_candidate(plan, 3.0)
+    outside = next(s for s in SESSIONS if not plan.needs_owner_decision(s, 3.0))
     for each in (session, outside):
-        plan.started_old(each, 0.5)
-        plan.ended_old(each, 1.0)
-    uses = plan.list_uses(3.0)
+        plan.record_old_started(each, 0.5)
+        plan.record_old_ended(each, 1.0)
+    uses = plan.list_session_ages(3.0)
     assert uses == {session: 2.0}
-    home.pins.take_uses(uses, 3.0)
+    home.pins.record_in_use(uses, 3.0)
     assert not home.decide(session, 4.0)
 
 
@@ -91,10 +91,10 @@
 
     It reaches the store and the callers, and would go on with the trial by itself.
     """
-    plan = begin(permitted_at=3.0)
-    assert count_new(plan, 3.0 + PERMIT_S - 0.1) > 0
-    assert count_new(plan, 3.0 + PERMIT_S) == 0
-    plan.permit(asked_at=6.0)
+    plan = begin_rollout(permitted_at=3.0)
+    assert count_new(plan, 3.0 + PERMIT_TTL_S - 0.1) > 0
+    assert count_new(plan, 3.0 + PERMIT_TTL_S) == 0
+    plan.permit(requested_at=6.0)
     assert count_new(plan, 6.5) > 0
 
 
@@ -105,26 +105,26 @@
     the bad version, and its failures passed for usual ones.
     """
     plan = VersionPlan(service="s", bounds=BOUNDS)
-    plan.note_versions({"v1": 5})
+    plan.update_versions({"v1": 5})
     bad = RolloutOrder(number=1, service="s", target="v2", time_limit_s=LIMIT_S)
-    plan.take_order(bad, 0.0)
+    plan.apply_order(bad, 0.0)
     assert plan.lineage.find_base({"v1": 5, "v2": 7}) == "v1"
-    plan.take_status(
+    plan.apply_status(
         RolloutStatus(service="s", target="v2", state=RolloutState.REVERTED, number=1),
         2.0,
     )
     listed = {"v1": 5, "v2": 5, "v3": 5}
     assert plan.lineage.find_base(listed) == "v1"
-    plan.take_order(
+    plan.apply_order(
         RolloutOrder(number=2, service="s", target="v3", time_limit_s=LIMIT_S), 3.0
     )
     assert plan.lineage.find_base(listed) == "v1"
     assert plan.lineage.find_base({"v2": 5, "v3": 5}) is None
-    plan.take_status(
+    plan.apply_status(
         RolloutStatus(service="s", target="v3", state=RolloutState.SUCCEEDED, number=2),
         9.0,
     )
-    plan.take_order(
+    plan.apply_order(
         RolloutOrder(number=3, service="s", target="v4", time_limit_s=LIMIT_S), 9.5
     )
     assert plan.lineage.find_base({"v1": 5, "v3": 5, "v4": 9}) == "v3"
@@ -132,19 +132,19 @@
 
 def test_blame_no_request_for_a_version_that_was_taken_back() -> None:
     """Word of the crashes of a bad version arrives once its roll-out has ended."""
-    plan = begin()
+    plan = begin_rollout()
     assert plan.is_unproven("v2")
     assert not plan.is_unproven("v1")
-    plan.take_status(
+    plan.apply_status(
         RolloutStatus(service="s", target="v2", state=RolloutState.REVERTED, number=1),
         2.0,
     )
     assert plan.is_unproven("v2")
-    plan.take_order(
+    plan.apply_order(
         RolloutOrder(number=2, service="s", target="v3", time_limit_s=LIMIT_S), 3.0
     )
     assert plan.is_unproven("v2")
-    plan.take_status(
+    plan.apply_status(
         RolloutStatus(service="s", target="v3", state=RolloutState.SUCCEEDED, number=2),
         9.0,
     )
@@ -156,19 +156,19 @@
     plan = VersionPlan(service="s", bounds=BOUNDS)
     assert plan.lineage.find_base({"v9": 4, "v10": 4}) == "v9"
     order = RolloutOrder(number=2, service="s", target="v3", time_limit_s=LIMIT_S)
-    plan.take_order(order, 0.0, saw_before=False)
+    plan.apply_order(order, 0.0, served_before_order=False)
     word = Progress(
         service="s", number=2, elapsed_s=4.0, share=0.1, old_running=0, base="v1"
     )
-    plan.take_verdict(word, 0.2)
+    plan.apply_verdict(word, 0.2)
     assert plan.lineage.find_base({"v1": 3, "v2": 5, "v3": 5}) == "v1"
 
 
 def test_go_on_where_a_restarted_instance_finds_a_rollout() -> None:
     plan = VersionPlan(service="s", bounds=BOUNDS)
     order = RolloutOrder(number=1, service="s", target="v2", time_limit_s=LIMIT_S)
-    plan.take_order(order, 100.0)
-    plan.take_status(
+    plan.apply_order(order, 100.0)
+    plan.apply_status(
         RolloutStatus(
             service="s",
             target="v2",
@@ -179,12 +179,12 @@
         100.0,
     )
     assert plan.elapsed(101.0) == 10.0
-    plan.take_status(
+    plan.apply_status(
         RolloutStatus(service="s", target="v2", state=RolloutState.REVERTED, number=1),
         102.0,
     )
     assert count_new(plan, 103.0) == 0
-    plan.take_status(
+    plan.apply_status(
         RolloutStatus(service="s", target="v2", state=RolloutState.SUCCEEDED, number=1),
         104.0,
     )
@@ -192,43 +192,43 @@
 
 
 def test_begin_anew_with_a_later_order() -> None:
-    plan = begin()
-    plan.trial.alarm = "errors"
+    plan = begin_rollout()
+    plan.analysis.alarm = "errors"
     order = RolloutOrder(number=2, service="s", target="v3", time_limit_s=LIMIT_S)
-    assert plan.take_order(order, 50.0)
-    assert plan.trial.alarm is None
+    assert plan.apply_order(order, 50.0)
+    assert plan.analysis.alarm is None
     assert plan.is_running
 
 
 def test_move_no_session_back_while_the_leader_is_silent() -> None:
     """A permit lapsed, and sessions went back though the version was not taken back."""
-    plan = begin(permitted_at=3.0)
-    session = find_contested(plan, 3.0)
+    plan = begin_rollout(permitted_at=3.0)
+    session = find_candidate(plan, 3.0)
     assert plan.decide(session, 3.0)
-    late = 3.0 + PERMIT_S + 0.5
+    late = 3.0 + PERMIT_TTL_S + 0.5
     assert not plan.may_stay(late)
-    plan.permission.confirm(asked_at=late - 1.0)
+    plan.permission.confirm(requested_at=late - 1.0)
     assert plan.may_stay(late)
     assert plan.decide(session, late)
-    other = next(s for s in SESSIONS if plan.may_move_early(s) and s != session)
+    other = next(s for s in SESSIONS if plan.may_join_canary(s) and s != session)
     assert not plan.decide(other, late)
 
 
 def test_admit_nobody_where_the_leader_lets_nobody_in() -> None:
-    plan = begin()
-    session = find_contested(plan, 3.0)
-    plan.permit(asked_at=3.0, admits=False)
+    plan = begin_rollout()
+    session = find_candidate(plan, 3.0)
+    plan.permit(requested_at=3.0, admits=False)
     assert not plan.decide(session, 3.0)
-    plan.permit(asked_at=3.1, admits=True)
+    plan.permit(requested_at=3.1, admits=True)
     assert plan.decide(session, 3.1)
-    plan.permit(asked_at=3.2, admits=False)
+    plan.permit(requested_at=3.2, admits=False)
     assert plan.decide(session, 3.2)
 
 
 def test_bound_what_is_decided_at_the_end() -> None:
     """Callers press as the version takes over; those that were let in stay."""
-    plan = begin()
-    plan.begin_final(23.0, part=20.4)
+    plan = begin_rollout()
+    plan.begin_final_phase(23.0, quota=20.4)
     admitted = [session for session in SESSIONS if plan.decide(session, 23.1)]
     assert 20 <= len(admitted) <= 21
     assert all(plan.decide(session, 23.2) for session in admitted)
@@ -237,25 +237,28 @@
 
 def test_ask_about_all_sessions_before_the_version_may_take_over() -> None:
     """An instance missed the end: sessions that moved at others went back."""
-    plan = begin()
-    before, after = LIMIT_S - plan.closing_s - 1.0, LIMIT_S - plan.closing_s
-    outside = next(s for s in SESSIONS if not plan.is_contested(s, before))
-    assert plan.is_contested(outside, after)
+    plan = begin_rollout()
+    before, after = (
+        LIMIT_S - plan.promotion_window_s - 1.0,
+        LIMIT_S - plan.promotion_window_s,
+    )
+    outside = next(s for s in SESSIONS if not plan.needs_owner_decision(s, before))
+    assert plan.needs_owner_decision(outside, after)
     assert not plan.decide(outside, after)
 
 
 def test_send_nothing_more_to_a_version_that_was_taken_back() -> None:
-    plan = begin()
-    session = find_contested(plan, 3.0)
+    plan = begin_rollout()
+    session = find_candidate(plan, 3.0)
     assert plan.decide(session, 3.0)
-    plan.trial.alarm = "errors"
+    plan.analysis.alarm = "errors"
     assert not plan.may_stay(3.5)
     assert not plan.decide(session, 3.5)
 
 
 def test_hear_of_the_end_directly() -> None:
     """Gossip tells two hundred instances within seconds; old servers stop at once."""
-    plan = begin()
+    plan = begin_rollout()
     word = Progress(
         service="s",
         number=1,
@@ -265,6 +268,6 @@
         is_final=True,
         state=RolloutState.SUCCEEDED,
     )
-    plan.take_verdict(word, 23.0)
+    plan.apply_verdict(word, 23.0)
     assert plan.state is RolloutState.SUCCEEDED
     assert plan.decide(SESSIONS[0], 23.1)
