--- a/src/baobabthread/instance/responses.py
+++ b/src/baobabthread/instance/responses.py
@@ -164,7 +164,7 @@
         return msgspec.structs.replace(
             question,
             spare=1.0 - (passed_s + first_s) / objective_s,
-            prices=self._estimates.estimate_costs(
+            costs=self._estimates.estimate_costs(
                 flight, prospect.wait_s, prospect.reading_s, self._disabled
             ),
         )
--- a/src/baobabthread/routing/canary.py
+++ b/src/baobabthread/routing/canary.py
@@ -57,7 +57,7 @@
 class Count(msgspec.Struct, frozen=True, array_like=True):
     """Count one instance's answers of one version to one kind of request."""
 
-    is_canary: bool
+    is_canary: bool = msgspec.field(name="on_trial")
     call: str
     metric: CanaryMetric
     seen: int
@@ -105,7 +105,7 @@
     answers are over before anybody knows what is slow.
     """
 
-    __slots__ = ("_usual",)
+    __slots__ = ("_baselines",)
 
     def __init__(self) -> None:
         self._baselines: dict[str, tuple[float, int]] = {}
@@ -131,12 +131,12 @@
     """Bet that the new version is worse than the old one, from shared counts."""
 
     __slots__ = (
-        "_before",
-        "_heard",
+        "_before_final",
         "_is_final",
         "_overdue",
         "_own",
         "_pending",
+        "_received",
         "_tickets",
         "_total",
         "_wealth",
--- a/src/baobabthread/routing/changelog.py
+++ b/src/baobabthread/routing/changelog.py
@@ -9,7 +9,7 @@
 class ChangeLog:
     """Remember the offset at which each backend server was last seen to change."""
 
-    __slots__ = ("_at", "_from", "_unread", "newest")
+    __slots__ = ("_complete_from", "_offsets", "_pending", "newest")
 
     def __init__(self) -> None:
         self._offsets: dict[str, int] = {}
--- a/src/baobabthread/routing/exposure.py
+++ b/src/baobabthread/routing/exposure.py
@@ -100,7 +100,7 @@
     with any number of instances, cut off, alone or just started.
     """
 
-    __slots__ = ("_attempts", "_exposed", "_final", "_requests", "_reserved")
+    __slots__ = ("_attempts", "_exposed", "_final_limit", "_requests", "_reserved")
 
     def __init__(self) -> None:
         self._requests = 0
@@ -185,7 +185,7 @@
     a version that fails under load passes its trial.
     """
 
-    __slots__ = ("_canary_share", "burst_servers", "share", "session_servers")
+    __slots__ = ("_canary_share", "burst_servers", "session_servers", "share")
 
     def __init__(self, *, canary_share: float, servers: int) -> None:
         self._canary_share = canary_share
@@ -211,7 +211,7 @@
 class Rate:
     """Measure a rate from a count that grows."""
 
-    __slots__ = ("_seen", "_window_s")
+    __slots__ = ("_samples", "_window_s")
 
     def __init__(self, *, window_s: float = RATE_WINDOW_S) -> None:
         self._window_s = window_s
--- a/src/baobabthread/routing/gaps.py
+++ b/src/baobabthread/routing/gaps.py
@@ -26,7 +26,7 @@
     streams to the next one, which reads all their prompts again and falls silent too.
     """
 
-    __slots__ = ("_long_s",)
+    __slots__ = ("_quantiles_s",)
 
     def __init__(self) -> None:
         self._quantiles_s: dict[str, float] = {}
--- a/src/baobabthread/routing/latencies.py
+++ b/src/baobabthread/routing/latencies.py
@@ -33,7 +33,7 @@
 class LatencyModel:
     """Follow the time to the first part of an answer and for each token after it."""
 
-    __slots__ = ("_usual",)
+    __slots__ = ("_estimates",)
 
     def __init__(self) -> None:
         self._estimates: dict[tuple[str, str | None], _Estimate] = {}
--- a/src/baobabthread/routing/progress.py
+++ b/src/baobabthread/routing/progress.py
@@ -24,12 +24,12 @@
     """Whether the new version takes over all requests."""
     base: str | None = None
     """The version that was in force before the order, as far as the sender knows."""
-    has_target_servers: bool = True
+    has_target_servers: bool = msgspec.field(default=True, name="has_begun")
     """Whether the sender knows servers of the new version that may take work."""
     total: Exposure = Exposure()
     """What all have sent, as far as the sender knows."""
     admits: bool = True
     """Whether further sessions may begin on the new version, by the leader's sums."""
-    final_quota: float | None = None
+    final_quota: float | None = msgspec.field(default=None, name="end_part")
     """Requests that each instance may decide to send there once it takes over."""
     state: RolloutState = RolloutState.RUNNING
--- a/src/baobabthread/routing/rollouttotals.py
+++ b/src/baobabthread/routing/rollouttotals.py
@@ -24,12 +24,12 @@
     """Add up by order what instances tell, and how many of them do."""
 
     __slots__ = (
-        "_serving",
-        "_begun",
-        "_heard",
-        "_most_alive",
+        "_max_serving",
         "_population",
+        "_reporting",
+        "_serving",
         "_totals",
+        "_with_target_servers",
     )
 
     def __init__(self) -> None:
--- a/src/baobabthread/routing/versions.py
+++ b/src/baobabthread/routing/versions.py
@@ -51,12 +51,14 @@
         "_final_at",
         "_old_running",
         "_ready_at",
-        "_target_servers",
         "_started_at",
+        "_target_servers",
+        "analysis",
         "bounds",
         "bursts",
-        "final_budget",
+        "canary_share",
         "exposure",
+        "final_budget",
         "known_exposure",
         "lineage",
         "order",
@@ -66,8 +68,6 @@
         "served_before_order",
         "service",
         "state",
-        "analysis",
-        "canary_share",
     )
 
     def __init__(self, *, service: str, bounds: RoutingBounds) -> None:
