--- a/src/baobabthread/routing/canary.py
+++ b/src/baobabthread/routing/canary.py
@@ -59,7 +59,7 @@
 
     is_canary: bool = msgspec.field(name="on_trial")
     call: str
-    metric: CanaryMetric
+    metric: CanaryMetric = msgspec.field(name="concern")
     seen: int
     bad: int
 
