--- a/src/baobabthread/routing/lineage.py
+++ b/src/baobabthread/routing/lineage.py
@@ -13,7 +13,7 @@
 class Lineage:
     """Keep what earlier orders have left in force."""
 
-    __slots__ = ("_target", "base", "rejected")
+    __slots__ = ("_target", "base", "rolled_back")
 
     def __init__(self) -> None:
         self._target: str | None = None
