--- a/bench/_fleet.py
+++ b/bench/_fleet.py
@@ -21,7 +21,7 @@
 from baobabthread.instance.peers import PeerLink
 from baobabthread.instance.settings import InstanceSettings
 from baobabthread.routing.bounds import RoutingBounds
-from baobabthread.routing.knowledge import Knowledge
+from baobabthread.routing.replica import StateReplica
 from baobabthread.routing.versions import VersionPlan
 from bench._fleet_store import Formats, MemoryStore
 
@@ -55,7 +55,7 @@
         size = len(msgspec.json.encode(snapshot))
         self.fleet.count(other, self._settings.failure_domain, "fetch", size)
         await asyncio.sleep(FAR_S)
-        self._knowledge.merge(snapshot, asked_at=asked_at, now=now())
+        self._knowledge.merge(snapshot, requested_at=asked_at, now=now())
 
 
 class Member:
@@ -70,7 +70,7 @@
         self._fleet = fleet
         self._number = number
         self._tasks: list[asyncio.Task[None]] = []
-        self.knowledge = Knowledge(bounds=fleet.bounds)
+        self.knowledge = StateReplica(bounds=fleet.bounds)
         self.link = self._make_link()
 
     def _make_link(self) -> Link:
@@ -138,7 +138,7 @@
 
     def restart(self) -> None:
         """Start again knowing nothing."""
-        self.knowledge = Knowledge(bounds=self._fleet.bounds)
+        self.knowledge = StateReplica(bounds=self._fleet.bounds)
         self.link = self._make_link()
         self.start()
 
--- a/bench/_fleet_store.py
+++ b/bench/_fleet_store.py
@@ -24,7 +24,7 @@
     RolloutStatus,
     RoutingConfiguration,
 )
-from baobabthread.routing.quarantine import Held
+from baobabthread.routing.quarantine import QuarantineEntry
 
 EVACUATION_PREFIX = "evacuation/"
 HELD_PREFIX = "held/"
@@ -77,14 +77,16 @@
             expected_end=expected_end,
         )
 
-    def decode_quarantined(self, record: Record, *, unix_now: float) -> Held | None:
+    def decode_quarantined(
+        self, record: Record, *, unix_now: float
+    ) -> QuarantineEntry | None:
         """Decode a request that is held; nothing for other records there."""
         if not record.key.startswith(HELD_PREFIX) or not record.value:
             return None
-        return msgspec.json.decode(record.value, type=Held)
+        return msgspec.json.decode(record.value, type=QuarantineEntry)
 
     def encode_quarantined(
-        self, entry: Held, expected_end: int, *, unix_now: float
+        self, entry: QuarantineEntry, expected_end: int, *, unix_now: float
     ) -> Append:
         """Return the record of a request that is held."""
         return msgspec.structs.replace(
--- a/bench/_rollout_members.py
+++ b/bench/_rollout_members.py
@@ -21,11 +21,11 @@
 from baobabthread.instance.store import Append, Appended, Conflict, Page, StoreError
 from baobabthread.instance.trialdesk import TrialDesk
 from baobabthread.routing.configuration import (
-    Repeatability,
+    RequestKind,
     RolloutOrder,
     Route,
 )
-from baobabthread.routing.knowledge import Knowledge
+from baobabthread.routing.replica import StateReplica
 from baobabthread.routing.table import Envelope
 from baobabthread.routing.versions import VersionPlan
 from bench._fleet_store import Formats, MemoryStore
@@ -183,7 +183,7 @@
         self.knowledge = _Knowledge()
         self.services = Services(backends=backends, bounds=self.world.day.bounds)
         self.peers = _Peers(world=self.world, member=self)
-        knowledge = cast(Knowledge, self.knowledge)
+        knowledge = cast(StateReplica, self.knowledge)
         self.conducting = Conducting(
             knowledge=knowledge,
             backends=backends,
@@ -304,7 +304,7 @@
     name="draft",
     host="h",
     path_prefix="/",
-    repeatability=Repeatability.STREAM,
+    kind=RequestKind.STREAM,
     targets=(),
     timeout_s=8.0,
     objective_s=2.0,
--- a/bench/coldstart.py
+++ b/bench/coldstart.py
@@ -10,12 +10,12 @@
 
 from baobabthread.core.registry import Registry
 from baobabthread.core.rendezvous import rank
-from baobabthread.routing.coldness import (
-    MEET_S,
-    Population,
+from baobabthread.routing.warmup import (
+    DISCOVERY_S,
+    SenderCount,
     SendWindows,
-    choose_gap_s,
-    choose_rate,
+    compute_interval_s,
+    compute_window_rate,
 )
 from bench.experiment import EXPERIMENTS, Options, Report, Table
 
@@ -50,12 +50,12 @@
 ) -> Times:
     """Send in windows of its own that begin at random, by all that ever were."""
     windows = SendWindows(me=view.me)
-    gap_s = choose_gap_s(most=MOST, members=view.counted)
+    gap_s = compute_interval_s(max_per_s=MOST, members=view.counted)
     clock_s = rng.uniform(0.0, 1e5)
     sent = []
     for moment in moments:
         if windows.is_open(server, gap_s, clock_s + moment):
-            windows.use(server, gap_s, clock_s + moment)
+            windows.mark_used(server, gap_s, clock_s + moment)
             sent.append(moment)
     return sent
 
@@ -65,7 +65,7 @@
     view: View, server: str, moments: Sequence[float], rng: random.Random
 ) -> Times:
     """Send the even part of the rate from a bucket that holds one request."""
-    rate = choose_rate(MOST) / len(view.known)
+    rate = compute_window_rate(MOST) / len(view.known)
     level, before, sent = rng.random(), 0.0, []
     for moment in moments:
         level = min(1.0, level + (moment - before) * rate)
@@ -117,9 +117,9 @@
 def _see_nobody_yet(names: Sequence[str], rng: random.Random) -> list[View]:
     views = []
     for name in names:
-        population = Population()
-        population.note([name], 0.0)
-        counted = population.count(MEET_S / 2)
+        population = SenderCount()
+        population.record([name], 0.0)
+        counted = population.count(DISCOVERY_S / 2)
         views.append(View(me=name, known=(name,), counted=counted))
     return views
 
--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -10,8 +10,8 @@
 
 from baobabthread.instance.clock import now
 from baobabthread.routing.bounds import RoutingBounds
-from baobabthread.routing.crashes import MOST_CRASHES, Crash, CrashLedger
-from baobabthread.routing.quarantine import MOST_HELD, Quarantine
+from baobabthread.routing.crashes import MAX_CRASHES, Crash, CrashAnalysis
+from baobabthread.routing.quarantine import MAX_ENTRIES, Quarantine
 from bench._fleet import Fleet, quiet_logs
 from bench._virtual import run_virtually
 from bench.experiment import EXPERIMENTS, Options, Report, Table
@@ -88,8 +88,8 @@
     row_bytes = _count(fleet)
     for member in fleet.up():
         desk = member.link.quarantine
-        for number in range(MOST_HELD - 1):
-            desk.quarantine.hold(f"{number:016x}", SERVICE, (), now())
+        for number in range(MAX_ENTRIES - 1):
+            desk.quarantine.add(f"{number:016x}", SERVICE, (), now())
         desk.unwritten.clear()
     fleet.reset_counts()
     calm_cpu_s = await _measure_cpu(CALM_S)
@@ -113,7 +113,7 @@
     waited_s = 0.0
     while waited_s < 2 * MOST_KNOWN_S:
         lists = (member.link.quarantine.quarantine for member in fleet.up())
-        if all(held.names(now()) for held in lists):
+        if all(held.quarantined(now()) for held in lists):
             break
         await asyncio.sleep(0.05)
         waited_s += 0.05
@@ -127,12 +127,12 @@
 def _measure_memory() -> float:
     """Return the kilobytes of the longest list and of the most crashes."""
     tracemalloc.start()
-    quarantine, ledger = Quarantine(), CrashLedger()
-    for number in range(MOST_HELD):
-        quarantine.hold(f"{number:016x}", SERVICE, (), 0.0)
-    for number in range(MOST_CRASHES):
+    quarantine, ledger = Quarantine(), CrashAnalysis()
+    for number in range(MAX_ENTRIES):
+        quarantine.add(f"{number:016x}", SERVICE, (), 0.0)
+    for number in range(MAX_CRASHES):
         fresh = [f"{number:08x}{n:08x}" for n in range(BESIDE + 1)]
-        ledger.take(_make_crash(number, fresh), float(number))
+        ledger.record(_make_crash(number, fresh), float(number))
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return size / 1e3
--- a/soak/weakened.py
+++ b/soak/weakened.py
@@ -74,23 +74,23 @@
 @WEAKENED.register("repeat everything")
 def repeat_everything(safeguard: Safeguard) -> None:
     """Take every route for one that may be repeated."""
-    ask = configuration.Route.may_repeat.fget  # type: ignore
+    ask = configuration.Route.may_retry.fget  # type: ignore
 
     def may_repeat(self: configuration.Route) -> bool:
         return not safeguard.stands(not ask(self))
 
-    configuration.Route.may_repeat = property(may_repeat)  # type: ignore
+    configuration.Route.may_retry = property(may_repeat)  # type: ignore
 
 
 @WEAKENED.register("serve on stale knowledge")
 def serve_stale(safeguard: Safeguard) -> None:
     """Honour keys however old the knowledge of them is."""
-    ask = knowledge.Knowledge.is_fresh
+    ask = knowledge.StateReplica.is_fresh
 
-    def is_fresh(self: knowledge.Knowledge, now: float) -> bool:
+    def is_fresh(self: knowledge.StateReplica, now: float) -> bool:
         return not safeguard.stands(not ask(self, now))
 
-    knowledge.Knowledge.is_fresh = is_fresh  # type: ignore
+    knowledge.StateReplica.is_fresh = is_fresh  # type: ignore
 
 
 @WEAKENED.register("pass parts of events")
@@ -178,13 +178,13 @@
 @WEAKENED.register("forget homes")
 def forget_homes(safeguard: Safeguard) -> None:
     """Let every request be served anywhere."""
-    ask = context.find_homes
+    ask = context.find_allowed_regions
 
     def find_homes(route: Any, account: Any) -> Any:
         homes = ask(route, account)
         return homes if safeguard.stands(homes is not None) else None
 
-    context.find_homes = find_homes
+    context.find_allowed_regions = find_homes
 
 
 def main() -> int:
--- a/src/baobabthread/instance/admission.py
+++ b/src/baobabthread/instance/admission.py
@@ -18,10 +18,10 @@
 from baobabthread.instance.endings import ELSEWHERE_S, SOON_S
 from baobabthread.instance.estimates import Estimates
 from baobabthread.instance.services import Services
-from baobabthread.routing.budget import RepeatBudget
-from baobabthread.routing.configuration import UNNAMED_MODEL, Account, Route
-from baobabthread.routing.knowledge import Knowledge
+from baobabthread.routing.budget import RetryBudget
+from baobabthread.routing.configuration import ANY_MODEL, Account, Route
 from baobabthread.routing.models import ModelChoice
+from baobabthread.routing.replica import StateReplica
 from baobabthread.routing.stopping import StopPlan
 from baobabthread.routing.table import RoutingTable
 
@@ -62,7 +62,7 @@
     def __init__(
         self,
         *,
-        replica: Knowledge,
+        replica: StateReplica,
         services: Services,
         estimates: Estimates,
         models: ModelChoice,
@@ -122,7 +122,7 @@
             deadline=request.arrived_at + _timeout_s(route, request),
         )
         budget = self._services.get(flight.service).budget
-        budget.count_request(self._services.arrivals.find(now()))
+        budget.record_request(self._services.arrivals.estimate_arrival(now()))
         self._choose_first_model(flight, budget)
         if not self._can_finish(flight):
             return Rejection(status=503, kind="leaving", retry_after_s=ELSEWHERE_S)
@@ -148,13 +148,15 @@
             return route.targets[0].service
         return self._rng.choices(route.targets, weights)[0].service
 
-    def _choose_first_model(self, flight: RequestContext, budget: RepeatBudget) -> None:
+    def _choose_first_model(self, flight: RequestContext, budget: RetryBudget) -> None:
         models = flight.route.models
-        if not models or flight.request.envelope.model != UNNAMED_MODEL:
+        if not models or flight.request.envelope.model != ANY_MODEL:
             return
         moment = now()
-        low = max(1.0, min(LOW_RETRY_BALANCE, LOW_RETRY_FRACTION * budget.most(moment)))
-        is_low = budget.balance(moment) < low
+        low = max(
+            1.0, min(LOW_RETRY_BALANCE, LOW_RETRY_FRACTION * budget.limit(moment))
+        )
+        is_low = budget.remaining(moment) < low
         if is_low and self._estimates.engine_time_cost < IDLE_COST:
             flight.model = len(models) - 1
         else:
@@ -175,7 +177,7 @@
             usual_ms=round(usual_s * 1000),
             longest_ms=round(longest_s * 1000),
         )
-        return plan.can_end(usual_s=usual_s, longest_s=longest_s, now=moment)
+        return plan.can_finish(usual_s=usual_s, longest_s=longest_s, now=moment)
 
 
 def _timeout_s(route: Route, request: CallerRequest) -> float:
--- a/src/baobabthread/instance/backends.py
+++ b/src/baobabthread/instance/backends.py
@@ -28,8 +28,8 @@
 from baobabthread.instance.restrictions import Restrictions
 from baobabthread.logs import log_event
 from baobabthread.routing.configuration import BackendRecord
-from baobabthread.routing.homes import Homes
-from baobabthread.routing.knowledge import Knowledge
+from baobabthread.routing.regions import AllowedRegions
+from baobabthread.routing.replica import StateReplica
 
 CONNECT_TIMEOUT_S = 0.4
 """Longest time for a connection: a few milliseconds are usual, and a lost first packet
@@ -120,7 +120,7 @@
     def __init__(
         self,
         *,
-        replica: Knowledge,
+        replica: StateReplica,
         restrictions: Restrictions,
         failure_domain: str,
         rng: random.Random,
@@ -139,9 +139,9 @@
         """Take over the records that changed."""
         for name in self._restrictions.drop_warm(now()):
             self.table.begin_slowly(name, now())
-        if self._applied_changes == self._replica.changes:
+        if self._applied_changes == self._replica.revision:
             return
-        self._applied_changes = self._replica.changes
+        self._applied_changes = self._replica.revision
         self._restrictions.refresh(now())
         # By incarnation: connections, load, delays and ejection belong to one start.
         records = {r.incarnation: r for r in self._replica.backends.values()}
@@ -160,7 +160,7 @@
         self.table.rebuild(_build_balancer_configuration(usable), now())
 
     def _record_cold(self, record: BackendRecord, left_s: float) -> None:
-        if self._replica.note_cold(record, left_s, now()):
+        if self._replica.record_warmup(record, left_s, now()):
             log_event("backend_cold", backend=record.id, left_s=round(left_s, 3))
             # Failure: until the next tick it would get all that comes in a tenth of a
             # second, more than a cold server bears in a whole one.
@@ -179,7 +179,7 @@
         version: str | None,
         prefix_key: int | None,
         exclude: Container[str],
-        allowed_regions: Homes,
+        allowed_regions: AllowedRegions,
         may_probe: bool,
         shared_s: float,
         shared_tokens: int,
@@ -218,7 +218,7 @@
         version: str | None,
         prefix_key: int | None,
         exclude: Container[str],
-        allowed_regions: Homes,
+        allowed_regions: AllowedRegions,
     ) -> list[str]:
         """Return the backend servers whose load is worth asking for."""
         moment = now()
@@ -231,7 +231,7 @@
             now=moment,
         )
 
-    def explain_unavailable(self, service: str, allowed_regions: Homes) -> str:
+    def explain_unavailable(self, service: str, allowed_regions: AllowedRegions) -> str:
         """Return why no backend server is left for a request."""
         return self._restrictions.explain_unavailable(service, allowed_regions)
 
--- a/src/baobabthread/instance/conducting.py
+++ b/src/baobabthread/instance/conducting.py
@@ -22,9 +22,9 @@
     RolloutStatus,
 )
 from baobabthread.routing.evaluation import evaluate_rollout, may_begin_final_phase
-from baobabthread.routing.knowledge import Knowledge
 from baobabthread.routing.permission import PERMIT_TTL_S
 from baobabthread.routing.progress import Progress
+from baobabthread.routing.replica import StateReplica
 from baobabthread.routing.rollouttotals import RolloutTotals
 from baobabthread.routing.versions import VersionPlan
 
@@ -41,7 +41,7 @@
     def __init__(
         self,
         *,
-        knowledge: Knowledge,
+        knowledge: StateReplica,
         backends: Backends,
         services: Services,
         peers: PeerLink,
--- a/src/baobabthread/instance/context.py
+++ b/src/baobabthread/instance/context.py
@@ -11,8 +11,8 @@
 from baobabthread.routing.configuration import Account, Route
 from baobabthread.routing.exposure import ExposureBudget
 from baobabthread.routing.fingerprints import fingerprint
-from baobabthread.routing.homes import find_homes
 from baobabthread.routing.reasons import VersionReason
+from baobabthread.routing.regions import find_allowed_regions
 from baobabthread.routing.table import Envelope
 
 
@@ -135,7 +135,7 @@
         self.account = account
         self.service = service
         self.deadline = deadline
-        self.allowed_regions = find_homes(route, account)
+        self.allowed_regions = find_allowed_regions(route, account)
         """Areas that it must not leave; None where any will do."""
         self.session = request.envelope.session or request.envelope.request_id
         self.is_sessionless = request.envelope.session is None
--- a/src/baobabthread/instance/endings.py
+++ b/src/baobabthread/instance/endings.py
@@ -6,7 +6,7 @@
 
 from baobabthread.instance.context import RequestContext
 from baobabthread.instance.requestlog import RequestLog
-from baobabthread.routing.quarantine import Held
+from baobabthread.routing.quarantine import QuarantineEntry
 
 SOON_S = 0.5
 """Time after which a caller may come back to an instance that has nothing to offer."""
@@ -61,7 +61,7 @@
         else:
             await flight.reply.reject(502, STOPPED_KIND, None)
 
-    async def hold_back(self, flight: RequestContext, held: Held) -> None:
+    async def hold_back(self, flight: RequestContext, held: QuarantineEntry) -> None:
         """End a request under which backend servers crash, and say what to do."""
         left_s = max(LEAST_HOLD_S, held.left_s)
         self._log.record_quarantined(flight)
--- a/src/baobabthread/instance/estimates.py
+++ b/src/baobabthread/instance/estimates.py
@@ -5,7 +5,7 @@
 from baobabthread.instance.context import RequestContext
 from baobabthread.routing.gaps import InterEventGaps
 from baobabthread.routing.latencies import LatencyModel
-from baobabthread.routing.mechanisms import Mechanism, Switches
+from baobabthread.routing.mechanisms import DisabledMechanisms, Mechanism
 
 SLOW_TOKEN_S = 0.04
 """Time for a token at an engine that reads long prompts between its tokens: about nine
@@ -105,7 +105,7 @@
         flight: RequestContext,
         wait_s: float,
         reading_s: float,
-        disabled: Switches,
+        disabled: DisabledMechanisms,
     ) -> tuple[float, ...]:
         """Return what the engine time of each model's answer is worth now.
 
@@ -113,7 +113,7 @@
         has to read there. A model that reads faster costs less, and so does a prompt
         whose parts are kept.
         """
-        if Mechanism.PRICE in disabled:
+        if Mechanism.MODEL_COST in disabled:
             return ()
         models = flight.route.models
         largest_s = max(1e-3, self.reading_s(flight, models[-1], 0))
--- a/src/baobabthread/instance/feeds.py
+++ b/src/baobabthread/instance/feeds.py
@@ -22,14 +22,14 @@
     Trimmed,
 )
 from baobabthread.logs import log_event
-from baobabthread.routing.coldness import MOST_COLD_S
 from baobabthread.routing.configuration import (
     BackendRecord,
     Evacuation,
     RolloutOrder,
     RoutingConfiguration,
 )
-from baobabthread.routing.knowledge import Knowledge
+from baobabthread.routing.replica import StateReplica
+from baobabthread.routing.warmup import MAX_WARMUP_S
 
 ANSWER_S = 0.8
 """Time for an answer beside the time that the store was told to wait."""
@@ -63,7 +63,7 @@
         *,
         topic: str,
         store: Store,
-        knowledge: Knowledge,
+        knowledge: StateReplica,
         metrics: Metrics,
         rng: random.Random,
         ask_peer: AskPeer,
@@ -245,7 +245,7 @@
     @property
     def _wait_s(self) -> float:
         # An instance that reads once, for a change or an age, needs the answer now.
-        return self._relay.limits.hold_s if self._relay.is_reader else 0.0
+        return self._relay.limits.long_poll_s if self._relay.is_reader else 0.0
 
     async def _rest(self) -> None:
         """Read on at once: the store itself holds a read that finds nothing."""
@@ -253,13 +253,13 @@
     def _take_page(self, page: Page) -> None:
         self._evacuated.clear()
         super()._take_page(page)
-        self._knowledge.complete_evacuations(self._evacuated, page.end)
+        self._knowledge.reconcile_evacuations(self._evacuated, page.end)
 
     def _take(self, record: Record) -> None:
         match self._formats.decode_operator_record(record):
             case RoutingConfiguration() as found:
                 self._take_configuration(found, record.offset)
-            case RolloutOrder() as found if self._knowledge.take_order(found):
+            case RolloutOrder() as found if self._knowledge.apply_order(found):
                 log_event(
                     "rollout_ordered",
                     service=found.service,
@@ -273,7 +273,7 @@
     def _take_evacuation(self, found: Evacuation) -> None:
         if found.is_on:
             self._evacuated.add(found.failure_domain)
-        if self._knowledge.take_evacuation(found):
+        if self._knowledge.apply_evacuation(found):
             log_event(
                 "evacuation_read",
                 failure_domain=found.failure_domain,
@@ -282,7 +282,7 @@
             )
 
     def _take_configuration(self, found: RoutingConfiguration, offset: int) -> None:
-        news = self._knowledge.take_configuration(found)
+        news = self._knowledge.apply_configuration(found)
         log_event(
             "configuration_read",
             version=found.version,
@@ -295,7 +295,7 @@
         """Keep what is in force: it is the operators' last word that can be read."""
 
     def _note_read(self, end: int, asked_at: float) -> None:
-        self._knowledge.note_operators_read(end=end, asked_at=asked_at)
+        self._knowledge.record_operators_read(end=end, requested_at=asked_at)
 
 
 class BackendsFeed(Feed):
@@ -314,22 +314,22 @@
         return self._knowledge.backends_end
 
     async def _rest(self) -> None:
-        poll_s = self._relay.limits.poll_s
+        poll_s = self._relay.limits.poll_interval_s
         await asyncio.sleep(poll_s * (0.8 + 0.4 * self._rng.random()))
 
     def _take_page(self, page: Page) -> None:
         listed = {record.key for record in page.records if record.value}
         for id in [id for id in self._knowledge.backends if id not in listed]:
-            self._knowledge.drop_backend(id, now())
+            self._knowledge.remove_backend(id, now())
         super()._take_page(page)
 
     def _take(self, record: Record) -> None:
         if not record.value:
-            self._knowledge.drop_backend(record.key, now())
+            self._knowledge.remove_backend(record.key, now())
             log_event("backend_gone", backend=record.key, offset=record.offset)
             return
         backend = self._formats.decode_backend(record)
-        if self._knowledge.take_backend(backend):
+        if self._knowledge.apply_backend(backend):
             log_event(
                 "backend_changed",
                 backend=backend.id,
@@ -341,16 +341,16 @@
         self._take_cold(backend)
 
     def _take_cold(self, backend: BackendRecord) -> None:
-        left_s = backend.cold_left_s
-        if not 0.0 <= left_s <= MOST_COLD_S:
+        left_s = backend.warmup_left_s
+        if not 0.0 <= left_s <= MAX_WARMUP_S:
             log_event(
                 "cold_time_implausible",
                 level="warning",
                 backend=backend.id,
                 left_s=left_s,
-                most_s=MOST_COLD_S,
+                most_s=MAX_WARMUP_S,
             )
-        if self._knowledge.note_cold(backend, left_s, now()):
+        if self._knowledge.record_warmup(backend, left_s, now()):
             log_event("backend_cold", backend=backend.id, left_s=round(left_s, 3))
 
     def _pass_over(self, record: Record) -> None:
@@ -359,4 +359,4 @@
         self._knowledge.discard_backend(record.key)
 
     def _note_read(self, end: int, asked_at: float) -> None:
-        self._knowledge.note_backends_read(end=end, asked_at=asked_at, now=now())
+        self._knowledge.record_backends_read(end=end, requested_at=asked_at, now=now())
--- a/src/baobabthread/instance/forwarder.py
+++ b/src/baobabthread/instance/forwarder.py
@@ -37,9 +37,9 @@
 from baobabthread.instance.turns import LEAST_LEFT_S, Turns
 from baobabthread.instance.wire import WireFormat
 from baobabthread.routing.canary import SentAttempt
-from baobabthread.routing.knowledge import Knowledge
-from baobabthread.routing.mechanisms import NONE_OFF, Mechanism, Switches
+from baobabthread.routing.mechanisms import NONE_DISABLED, DisabledMechanisms, Mechanism
 from baobabthread.routing.models import MODEL_CHOICES
+from baobabthread.routing.replica import StateReplica
 
 MAX_LOST_CONNECTIONS = 3
 """Connections that may end under one request, where its route allows more tries: three
@@ -56,7 +56,7 @@
     def __init__(
         self,
         *,
-        replica: Knowledge,
+        replica: StateReplica,
         backends: Backends,
         services: Services,
         wire: WireFormat,
@@ -66,7 +66,7 @@
         placement: Placement,
         crashes: CrashDetector,
         quarantine: QuarantineCoordinator,
-        disabled: Switches = NONE_OFF,
+        disabled: DisabledMechanisms = NONE_DISABLED,
     ) -> None:
         self._backends = backends
         self._services = services
@@ -334,7 +334,7 @@
             return
         flight.lost_connections += isinstance(error, ConnectionLostError)
         surely_not_run = isinstance(error, NotSentError | RejectedError)
-        may_repeat = flight.route.may_repeat and flight.has_attempts_left
+        may_repeat = flight.route.may_retry and flight.has_attempts_left
         if not surely_not_run and not may_repeat:
             await self._error_responses.give_up(flight, "backend_failed")
             return
@@ -359,9 +359,9 @@
         Giving up without another try would turn a slow answer into none, and under load
         every answer is slow.
         """
-        if not flight.route.may_repeat or not flight.has_attempts_left:
+        if not flight.route.may_retry or not flight.has_attempts_left:
             return False
-        if Mechanism.PATIENCE in self._disabled:
+        if Mechanism.ATTEMPT_TIMEOUT in self._disabled:
             return False
         if flight.attempts >= MAX_BACKENDS_TRIED:
             return False
--- a/src/baobabthread/instance/heldrecords.py
+++ b/src/baobabthread/instance/heldrecords.py
@@ -20,7 +20,7 @@
     StoreError,
 )
 from baobabthread.logs import log_event
-from baobabthread.routing.quarantine import Held
+from baobabthread.routing.quarantine import QuarantineEntry
 
 LOOK_S = 0.25
 PAUSE_S = 0.5
@@ -66,7 +66,7 @@
             if moment >= due:
                 await self._write(fingerprint)
 
-    async def _load(self) -> tuple[dict[str, Held], int]:
+    async def _load(self) -> tuple[dict[str, QuarantineEntry], int]:
         """Take over what is stored; return it, and where the topic ends."""
         page = await self._store.newest(self._formats.status_topic, CALL_S)
         stored = self._decode(page)
@@ -81,7 +81,9 @@
         append: Append | None = None
         if held is None and before is not None:
             append = self._formats.encode_release(fingerprint, end)
-        elif held is not None and (before is None or before.number < held.number):
+        elif held is not None and (
+            before is None or before.precedence < held.precedence
+        ):
             append = self._formats.encode_quarantined(held, end, unix_now=time.time())
         if append is not None:
             if isinstance(await self._store.append(append, CALL_S), Conflict):
@@ -90,7 +92,7 @@
             log_event("held_stored", fingerprint=fingerprint, is_over=held is None)
         self._desk.unwritten.pop(fingerprint, None)
 
-    def _decode(self, page: Page) -> dict[str, Held]:
+    def _decode(self, page: Page) -> dict[str, QuarantineEntry]:
         found = {}
         # Clocks of machines may jump; an hour more or less holds nothing for ever.
         unix_now = time.time()
--- a/src/baobabthread/instance/peers.py
+++ b/src/baobabthread/instance/peers.py
@@ -65,7 +65,7 @@
 )
 from baobabthread.logs import log_event
 from baobabthread.routing.crashes import Crash
-from baobabthread.routing.knowledge import Knowledge
+from baobabthread.routing.replica import StateReplica
 from baobabthread.routing.snapshots import Snapshot
 
 KNOWLEDGE_PATH = "/peer/knowledge"
@@ -104,7 +104,7 @@
         settings: InstanceSettings,
         incarnation: str,
         started_at: float,
-        knowledge: Knowledge,
+        knowledge: StateReplica,
         rng: random.Random,
         find_plan: FindPlan,
     ) -> None:
@@ -329,12 +329,12 @@
         ) as error:
             log_event("peer_unreachable", peer=peer, error=str(error) or "timeout")
             return
-        before = self._knowledge.changes
-        self._knowledge.merge(snapshot, asked_at=asked_at, now=now())
+        before = self._knowledge.revision
+        self._knowledge.merge(snapshot, requested_at=asked_at, now=now())
         log_event(
             "peer_asked",
             peer=peer,
-            news=self._knowledge.changes != before,
+            news=self._knowledge.revision != before,
             operators_age_ms=round(min(snapshot.operators_age_s, 1e6) * 1000),
             backends_age_ms=round(min(snapshot.backends_age_s, 1e6) * 1000),
         )
--- a/src/baobabthread/instance/process.py
+++ b/src/baobabthread/instance/process.py
@@ -35,10 +35,10 @@
 from baobabthread.instance.wire import WireFormat
 from baobabthread.logs import log_event
 from baobabthread.routing.configuration import RequestLimits
-from baobabthread.routing.directory import Directory, list_addresses
-from baobabthread.routing.homes import Areas
-from baobabthread.routing.knowledge import Knowledge
-from baobabthread.routing.stopping import Pulse, StopPlan, plan_stop
+from baobabthread.routing.directory import AddressList, list_addresses
+from baobabthread.routing.regions import Regions
+from baobabthread.routing.replica import StateReplica
+from baobabthread.routing.stopping import StallDetector, StopPlan, plan_stop
 
 TICK_S = 0.1
 PRUNE_S = 1.0
@@ -57,7 +57,7 @@
 
 
 MakeInterface = Callable[
-    [Callable[[], bool], Callable[[str | None, str | None], Directory]], Interface
+    [Callable[[], bool], Callable[[str | None, str | None], AddressList]], Interface
 ]
 
 
@@ -88,8 +88,8 @@
         rng = random.Random()
         self._rng = rng
         self.metrics = Metrics()
-        self.knowledge = Knowledge(bounds=settings.bounds)
-        self._areas = Areas(areas=settings.regions)
+        self.knowledge = StateReplica(bounds=settings.bounds)
+        self._areas = Regions(by_domain=settings.regions)
         self.restrictions = Restrictions(
             me=settings.name,
             replica=self.knowledge,
@@ -140,13 +140,13 @@
             store=self._store,
             formats=self._formats,
         )
-        self.knowledge.on_read = self._take_knowledge
+        self.knowledge.on_update = self._take_knowledge
         self.readiness = Readiness(publish=self.peers.publish, heard=self.peers.heard)
         self._stopping: StopPlan | None = None
         self._callers: asyncio.Server | None = None
         self._shared: tuple[int, int] | None = None
         self._members_seen = -1
-        self._pulse = Pulse(now=now())
+        self._pulse = StallDetector(now=now())
 
     def _connect_quarantine(self) -> None:
         desk = self.peers.quarantine
@@ -175,7 +175,9 @@
             and self.knowledge.is_fresh(now())
         )
 
-    def find_addresses(self, failure_domain: str | None, area: str | None) -> Directory:
+    def find_addresses(
+        self, failure_domain: str | None, area: str | None
+    ) -> AddressList:
         """Return which instances a caller may connect to."""
         membership = self.peers.membership
         table = self.knowledge.table
@@ -183,7 +185,7 @@
         return list_addresses(
             me=membership.me,
             serving=membership.alive(),
-            i_am_ready=self.is_ready,
+            is_ready=self.is_ready,
             # Failure: a domain goes dark, and the last of its members that nobody has
             # probed yet are named to callers for seconds.
             is_stale=lambda member: (
@@ -191,9 +193,9 @@
             ),
             failure_domain=failure_domain,
             max_lifetime_s=self._settings.bounds.max_lifetime_s,
-            area=area,
-            homes=table.homes if table is not None else frozenset(),
-            areas=self._areas,
+            region=area,
+            allowed_regions=table.common_regions if table is not None else frozenset(),
+            regions=self._areas,
         )
 
     async def serve_peer(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -214,10 +216,12 @@
         self.metrics.in_flight.set(self.forwarder.in_flight)
         self.metrics.replica_age.set(self.knowledge.operators_age(now()))
         self.metrics.members.set(len(self.peers.membership.alive()))
-        self.metrics.quarantined.set(len(self.peers.quarantine.quarantine.names(now())))
+        self.metrics.quarantined.set(
+            len(self.peers.quarantine.quarantine.quarantined(now()))
+        )
         for state in self.services:
             left = self.metrics.retries_left.labels(service=state.name)
-            left.set(state.budget.balance(now()))
+            left.set(state.budget.remaining(now()))
             exposed = self.metrics.exposed_requests.labels(service=state.name)
             exposed.set(state.plan.exposure.report().exposed)
         return web.Response(body=self.metrics.render(), content_type="text/plain")
@@ -256,9 +260,9 @@
 
     async def leave(self) -> None:
         """Serve on while callers may still hold the address, then end."""
-        earliest = self._pulse.find_earliest(now())
+        earliest = self._pulse.find_earliest_signal(now())
         grace_s = self._settings.bounds.grace_s
-        plan = plan_stop(grace_s=grace_s, now=now(), earliest=earliest)
+        plan = plan_stop(grace_s=grace_s, now=now(), signalled_at=earliest)
         self._stopping = plan
         self.peers.leave()
         log_event(
@@ -345,14 +349,14 @@
 
     async def _tick(self) -> None:
         while True:
-            self._pulse.beat(now())
+            self._pulse.tick(now())
             self.services.arrivals.tick(now())
-            self.knowledge.expire(now())
+            self.knowledge.expire_lapsed(now())
             self._note_members()
             self.backends.refresh()
             sharing = (
                 len(self.peers.membership.alive()),
-                self.knowledge.changes,
+                self.knowledge.revision,
             )
             if sharing != self._shared:
                 self._shared = sharing
@@ -378,7 +382,7 @@
         loop = asyncio.get_running_loop()
 
         def take(number: signal.Signals) -> None:
-            late_ms = round((now() - self._pulse.find_earliest(now())) * 1000)
+            late_ms = round((now() - self._pulse.find_earliest_signal(now())) * 1000)
             again = told.is_set()
             log_event(
                 "signal_received", signal=number.name, again=again, late_ms=late_ms
--- a/src/baobabthread/instance/quarantine.py
+++ b/src/baobabthread/instance/quarantine.py
@@ -17,8 +17,8 @@
 from baobabthread.core.rendezvous import rank
 from baobabthread.instance.clock import now
 from baobabthread.logs import log_event
-from baobabthread.routing.crashes import Crash, CrashLedger, IsOnTrial, Suspect
-from baobabthread.routing.quarantine import FindVersions, Held, Quarantine
+from baobabthread.routing.crashes import Crash, CrashAnalysis, IsCanary, Suspect
+from baobabthread.routing.quarantine import FindVersions, Quarantine, QuarantineEntry
 
 OWNER_COUNT = 3
 """Instances that are told of a service's crashes. Where the only one stands still or is
@@ -55,7 +55,7 @@
 ):
     """Tell entries, all of them or the newest."""
 
-    entries: list[Held]
+    entries: list[QuarantineEntry]
     is_complete: bool = False
     """Whether these are all that the sender knows and it was told what is stored."""
     wants_reply: bool = False
@@ -67,7 +67,7 @@
 
 
 class _Publication(msgspec.Struct):
-    entry: Held
+    entry: QuarantineEntry
     sent_count: int
     sent_at: float
 
@@ -82,7 +82,7 @@
         self._members: list[str] = [me]
         self._neighbours: list[str] = []
         self._owners: dict[str, list[str]] = {}
-        self._ledger = CrashLedger(find_delay=self._find_delay)
+        self._ledger = CrashAnalysis(find_delay=self._find_delay)
         self._publications: dict[str, _Publication] = {}
         self._compared_at = -1e9
         self._queried_at = -1e9
@@ -92,7 +92,7 @@
         """Entries that the store may lack, and when this instance writes them."""
         self.has_complete_list = False
         """Whether it was told what is stored, by the store or by a peer that was."""
-        self.is_canary: IsOnTrial = lambda service, version: False
+        self.is_canary: IsCanary = lambda service, version: False
         self.find_versions: FindVersions = lambda service: ()
         self.was_answered: Callable[[str], bool] = lambda fingerprint: False
         self.on_unproven_crash: Callable[[str, str], None] = lambda service, version: (
@@ -115,7 +115,7 @@
         """Tell whether any request is held, or was of late."""
         return len(self.quarantine) > 0
 
-    def find(self, fingerprint: str) -> Held | None:
+    def find(self, fingerprint: str) -> QuarantineEntry | None:
         """Return how a request is held, if it is."""
         return self.quarantine.find(fingerprint, self.find_versions, now())
 
@@ -133,13 +133,13 @@
         """Tell the judges of a crash that was seen here."""
         for name in self._find_owners(crash.service):
             if name == self._me:
-                self._ledger.take(crash, now())
+                self._ledger.record(crash, now())
             else:
                 self._send(name, crash)
 
     def handle_crash(self, crash: Crash) -> None:
         """Take in a crash that another instance saw."""
-        self._ledger.take(crash, now())
+        self._ledger.record(crash, now())
         for fingerprint in (*crash.fresh, *crash.older):
             if self.was_answered(fingerprint):
                 self._ledger.clear(fingerprint)
@@ -159,23 +159,23 @@
     def _evaluate_crashes(self, moment: float) -> None:
         if not self._ledger.is_due(moment):
             return
-        suspects = self._ledger.judge(
+        suspects = self._ledger.find_suspects(
             moment,
-            held=self.quarantine.names(moment),
-            relapsed=self.quarantine.relapsed(moment),
-            is_on_trial=self.is_canary,
+            quarantined=self.quarantine.quarantined(moment),
+            previously_quarantined=self.quarantine.previously_quarantined(moment),
+            is_canary=self.is_canary,
         )
         for suspect in suspects:
             self._quarantine_suspect(suspect, moment)
-        held = self.quarantine.names(moment)
-        for service, version in self._ledger.count_unproven(moment, held):
+        held = self.quarantine.quarantined(moment)
+        for service, version in self._ledger.list_unproven_crashes(moment, held):
             # One judge counts it: a crash that all instances saw is one bad sign.
             if self._find_owners(service)[:1] == [self._me]:
                 self.on_unproven_crash(service, version)
 
     def _quarantine_suspect(self, suspect: Suspect, moment: float) -> None:
         fingerprint = suspect.fingerprint
-        held = self.quarantine.hold(
+        held = self.quarantine.add(
             fingerprint, suspect.service, suspect.versions, moment
         )
         log_event(
@@ -200,7 +200,7 @@
     def release(self, fingerprint: str) -> None:
         """Let a request go that was answered whole though it is held."""
         self._ledger.clear(fingerprint)
-        cleared = self.quarantine.clear(fingerprint, now())
+        cleared = self.quarantine.release(fingerprint, now())
         if cleared is not None:
             log_event("request_let_go", fingerprint=fingerprint, why="answered")
             self._publish(cleared)
@@ -213,11 +213,11 @@
             self.has_complete_list = True
         if not message.wants_reply:
             return
-        theirs = {each.fingerprint: each.number for each in message.entries}
+        theirs = {each.fingerprint: each.precedence for each in message.entries}
         lacking = [
             held
             for held in self.quarantine.list(moment)
-            if theirs.get(held.fingerprint, (0, False)) < held.number
+            if theirs.get(held.fingerprint, (0, False)) < held.precedence
         ]
         if lacking:
             self._send(sender, QuarantineEntries(entries=lacking))
@@ -236,11 +236,11 @@
             ),
         )
 
-    def apply_entries(self, entries: Sequence[Held], *, source: str) -> None:
+    def apply_entries(self, entries: Sequence[QuarantineEntry], *, source: str) -> None:
         """Take over entries from a peer or from the store."""
         moment = now()
         for held in entries:
-            if not self.quarantine.take(held, moment):
+            if not self.quarantine.apply(held, moment):
                 continue
             log_event(
                 "request_held_heard",
@@ -276,7 +276,7 @@
             word = QuarantineDigest(digest=self.quarantine.digest, asks=True)
             self._send(self._rng.choice(others), word)
 
-    def _process_change(self, held: Held) -> None:
+    def _process_change(self, held: QuarantineEntry) -> None:
         if held.is_cleared:
             self._ledger.clear(held.fingerprint)
         elif self.was_answered(held.fingerprint):
@@ -286,7 +286,7 @@
             self.on_quarantined(held.fingerprint)
         self._schedule_write(held.fingerprint, held.service)
 
-    def _publish(self, held: Held) -> None:
+    def _publish(self, held: QuarantineEntry) -> None:
         self._publications[held.fingerprint] = _Publication(
             entry=held, sent_count=0, sent_at=-1e9
         )
--- a/src/baobabthread/instance/relaying.py
+++ b/src/baobabthread/instance/relaying.py
@@ -18,9 +18,13 @@
 from baobabthread.logs import log_event
 from baobabthread.routing.bounds import RoutingBounds
 from baobabthread.routing.configuration import BackendRecord
-from baobabthread.routing.knowledge import NEVER_S, Knowledge
-from baobabthread.routing.news import Step
-from baobabthread.routing.sources import AgeLimits, Sources, choose_limits
+from baobabthread.routing.deltas import OperatorDelta
+from baobabthread.routing.readers import (
+    ReaderAssignment,
+    StalenessLimits,
+    derive_staleness_limits,
+)
+from baobabthread.routing.replica import NEVER_S, StateReplica
 
 PATIENCE_S = 0.25
 """Time after which a question counts as unanswered, and the next one is asked."""
@@ -72,7 +76,7 @@
     """Offset from which on all changes are told here; -1 where there are too many."""
     changed: list[BackendRecord] = []
     gone: list[str] = []
-    steps: list[Step] = []
+    steps: list[OperatorDelta] = []
     """What operators changed since the offset that the receiver named last."""
 
 
@@ -117,7 +121,7 @@
         self,
         *,
         me: str,
-        knowledge: Knowledge,
+        knowledge: StateReplica,
         tell: Tell,
         fetch: Fetch,
         bounds: RoutingBounds | None = None,
@@ -127,9 +131,11 @@
         self._knowledge = knowledge
         self._tell = tell
         self._fetch = fetch
-        self.limits: AgeLimits = choose_limits(bounds or RoutingBounds())
+        self.limits: StalenessLimits = derive_staleness_limits(
+            bounds or RoutingBounds()
+        )
         self._alive: list[str] = [me]
-        self._sources = Sources(me=me, names=self._alive)
+        self._sources = ReaderAssignment(me=me, names=self._alive)
         self._others: list[str] = []
         self._asked: dict[int, float] = {}
         self._asked_at = -1e9
@@ -145,7 +151,7 @@
     def set_members(self, names: Sequence[str]) -> None:
         """Note which instances serve, this one included."""
         self._alive = list(names) or [self._me]
-        self._sources = Sources(me=self._me, names=self._alive)
+        self._sources = ReaderAssignment(me=self._me, names=self._alive)
         self._others = []
 
     @property
@@ -163,9 +169,9 @@
         """Tell whether this instance follows the store for others."""
         if len(self._alive) == 1 and now() < self._joins_until:
             return False
-        if self._sources.reads:
+        if self._sources.is_reader:
             return True
-        return self._sources.stands_by and self._misses >= ENOUGH_MISSES
+        return self._sources.is_standby and self._misses >= ENOUGH_MISSES
 
     @property
     def is_behind(self) -> bool:
@@ -209,10 +215,10 @@
         """Ask a reader, or tell subscribers of changes, as is due."""
         moment = now()
         self._tell_changes(moment)
-        if self._sources.reads:
+        if self._sources.is_reader:
             return
         is_overdue = self._count_overdue(moment)
-        if not is_overdue and moment - self._asked_at < self.limits.ask_s:
+        if not is_overdue and moment - self._asked_at < self.limits.request_interval_s:
             return
         peer = self._choose_peer(moment)
         if peer is None:
@@ -258,7 +264,7 @@
             if not is_told:
                 self._fetch(sender)
                 return
-            knowledge.take_changes(
+            knowledge.apply_backend_changes(
                 word.changed,
                 word.gone,
                 end=word.backends_end,
@@ -274,7 +280,7 @@
         """Take over what operators changed, as far as the sender tells it."""
         knowledge = self._knowledge
         before = knowledge.table
-        knowledge.take_steps(word.steps)
+        knowledge.apply_deltas(word.steps)
         if knowledge.table is not None and knowledge.table is not before:
             log_event(
                 "configuration_read",
@@ -287,7 +293,7 @@
     @property
     def _own_limit_s(self) -> float:
         """Give the age from which this instance reads for itself."""
-        turn_s = min(MOST_TURN_S, TURN_S * self._sources.turn)
+        turn_s = min(MOST_TURN_S, TURN_S * self._sources.position)
         return self.limits.operators_s + turn_s
 
     def _count_overdue(self, moment: float) -> bool:
@@ -304,7 +310,7 @@
     def _choose_peer(self, moment: float) -> str | None:
         age_s = self._knowledge.operators_age(moment)
         if age_s <= self.limits.operators_s or self._misses % 2:
-            return self._sources.choose(self._misses)
+            return self._sources.choose_reader(self._misses)
         # The store may turn away all readers and serve the others, or serve only some:
         # whoever is fresh can tell. Each question goes to another member, since asking
         # the readers alone would refuse every key while most instances know them.
@@ -320,7 +326,7 @@
         if state == self._told:
             return
         self._told = state
-        recent = moment - SUBSCRIBED_PARTS * self.limits.ask_s
+        recent = moment - SUBSCRIBED_PARTS * self.limits.request_interval_s
         self._subscribers = {
             n: s for n, s in self._subscribers.items() if s.asked_at > recent
         }
@@ -333,16 +339,16 @@
         knowledge = self._knowledge
         moment = now()
         known_end = subscriber.backends_end
-        changes = knowledge.list_changes(known_end, moment, most=MOST_TOLD)
+        changes = knowledge.list_backend_changes(known_end, moment, limit=MOST_TOLD)
         return KnowledgeIs(
             sequence=sequence,
             operators_end=knowledge.operators_end,
             operators_age_s=round(knowledge.operators_age(moment) + 0.0005, 3),
-            backends_end=knowledge.told_end,
+            backends_end=knowledge.settled_end,
             backends_changed_at=knowledge.backends_changed_at,
             backends_age_s=round(knowledge.backends_age(moment) + 0.0005, 3),
             since=known_end if changes is not None else -1,
             changed=changes.changed if changes is not None else [],
-            gone=changes.gone if changes is not None else [],
-            steps=knowledge.steps.list_since(subscriber.operators_end),
+            gone=changes.removed if changes is not None else [],
+            steps=knowledge.deltas.list_since(subscriber.operators_end),
         )
--- a/src/baobabthread/instance/requestlog.py
+++ b/src/baobabthread/instance/requestlog.py
@@ -7,8 +7,8 @@
 from baobabthread.instance.metrics import Metrics
 from baobabthread.logs import log_event, write_event
 from baobabthread.routing.configuration import BackendRecord
-from baobabthread.routing.knowledge import Knowledge
 from baobabthread.routing.reasons import VersionReason
+from baobabthread.routing.replica import StateReplica
 from baobabthread.routing.versions import VersionPlan
 
 FAILURE_LINES_PER_S = 20.0
@@ -50,7 +50,7 @@
 
     __slots__ = ("_choices", "_failures", "_knowledge", "_metrics", "_successes")
 
-    def __init__(self, *, knowledge: Knowledge, metrics: Metrics) -> None:
+    def __init__(self, *, knowledge: StateReplica, metrics: Metrics) -> None:
         self._knowledge = knowledge
         self._metrics = metrics
         self._failures = LineRateLimiter(per_s=FAILURE_LINES_PER_S)
--- a/src/baobabthread/instance/responses.py
+++ b/src/baobabthread/instance/responses.py
@@ -15,7 +15,7 @@
 from baobabthread.instance.selection import Selection, WaitEstimate
 from baobabthread.instance.services import ServiceState
 from baobabthread.instance.wire import WireFormat
-from baobabthread.routing.mechanisms import Switches
+from baobabthread.routing.mechanisms import DisabledMechanisms
 from baobabthread.routing.models import ModelChoice, PendingResponse
 
 LENGTH_MARGIN = 1.5
@@ -37,7 +37,7 @@
         estimates: Estimates,
         models: ModelChoice,
         selection: Selection,
-        disabled: Switches,
+        disabled: DisabledMechanisms,
         log: RequestLog,
     ) -> None:
         self._wire = wire
@@ -87,7 +87,7 @@
         """Try an answer that says failure elsewhere, or pass it on as it is."""
         body = await attempt.read_body(MAX_RESPONSE_BYTES)
         flight.timeline.append(f"{attempt.link.record.id}:status {head.status}")
-        may_repeat = flight.route.may_repeat and flight.has_attempts_left
+        may_repeat = flight.route.may_retry and flight.has_attempts_left
         # With no other server left the caller is better off with this one's own words.
         has_other = may_repeat and self._selection.has_alternative(flight, attempt.link)
         if has_other and state.spend():
--- a/src/baobabthread/instance/restrictions.py
+++ b/src/baobabthread/instance/restrictions.py
@@ -6,14 +6,14 @@
 
 from baobabthread.logs import log_event
 from baobabthread.routing.bounds import RoutingBounds
-from baobabthread.routing.coldness import (
-    Population,
+from baobabthread.routing.configuration import BackendRecord, ServiceConfiguration
+from baobabthread.routing.regions import AllowedRegions, Regions
+from baobabthread.routing.replica import StateReplica
+from baobabthread.routing.warmup import (
+    SenderCount,
     SendWindows,
-    choose_gap_s,
+    compute_interval_s,
 )
-from baobabthread.routing.configuration import BackendRecord, ServicePlan
-from baobabthread.routing.homes import Areas, Homes
-from baobabthread.routing.knowledge import Knowledge
 
 NO_BACKENDS: frozenset[str] = frozenset()
 
@@ -34,15 +34,15 @@
     )
 
     def __init__(
-        self, *, me: str, replica: Knowledge, regions: Areas, bounds: RoutingBounds
+        self, *, me: str, replica: StateReplica, regions: Regions, bounds: RoutingBounds
     ) -> None:
         self._replica = replica
         self._regions = regions
         self._bounds = bounds
-        self._population = Population()
+        self._population = SenderCount()
         self._windows = SendWindows(me=me)
         self._outside_regions: dict[frozenset[str], frozenset[str]] = {}
-        self._cold: dict[str, ServicePlan] = {}
+        self._cold: dict[str, ServiceConfiguration] = {}
         """Cold starts, with the service that bounds what they get."""
         self._evacuated: frozenset[str] = NO_BACKENDS
         self._checked_version = -1
@@ -50,7 +50,7 @@
 
     def update_members(self, names: Iterable[str], now: float) -> None:
         """Note which instances are known, in any state."""
-        self._population.note(names, now)
+        self._population.record(names, now)
 
     def refresh(self, now: float) -> None:
         """Take over what is known of evacuations, homes and cold servers."""
@@ -61,13 +61,13 @@
         self._cold = {
             record.incarnation: plans[record.service]
             for record in self._replica.backends.values()
-            if self._replica.cold.left_s(record.incarnation, now)
+            if self._replica.cold_servers.left_s(record.incarnation, now)
             and record.service in plans
         }
 
     def drop_warm(self, now: float) -> list[str]:
         """Forget the servers that are warm by now and return them."""
-        warm = self._replica.cold.drop_warm(now)
+        warm = self._replica.cold_servers.drop_warm(now)
         for name in warm:
             self._cold.pop(name, None)
             self._windows.forget(name)
@@ -81,7 +81,9 @@
         """Tell whether a server bears only few requests now."""
         return record.incarnation in self._cold
 
-    def list_restricted(self, allowed_regions: Homes, now: float) -> frozenset[str]:
+    def list_restricted(
+        self, allowed_regions: AllowedRegions, now: float
+    ) -> frozenset[str]:
         """Return the starts that must not get a request with such homes now."""
         if not self._cold:
             return self._list_outside_regions(allowed_regions)
@@ -91,9 +93,9 @@
     def record_sent(self, name: str, now: float) -> None:
         """Count an attempt that goes to a server."""
         if name in self._cold:
-            self._windows.use(name, self._send_interval_s(name, now), now)
+            self._windows.mark_used(name, self._send_interval_s(name, now), now)
 
-    def explain_unavailable(self, service: str, allowed_regions: Homes) -> str:
+    def explain_unavailable(self, service: str, allowed_regions: AllowedRegions) -> str:
         """Return why no server of a service is left for a request."""
         records = [
             record
@@ -114,20 +116,20 @@
             return "backends_cold"
         return "no_backend"
 
-    def _warm_up_plans(self) -> dict[str, ServicePlan]:
+    def _warm_up_plans(self) -> dict[str, ServiceConfiguration]:
         table = self._replica.table
         plans = table.services if table is not None else {}
-        return {name: plan for name, plan in plans.items() if plan.cold_rate > 0.0}
+        return {name: plan for name, plan in plans.items() if plan.warmup_rate > 0.0}
 
     def _is_window_open(self, name: str, now: float) -> bool:
         return self._windows.is_open(name, self._send_interval_s(name, now), now)
 
     def _send_interval_s(self, name: str, now: float) -> float:
         bounds = self._bounds
-        most = self._cold[name].cold_rate * bounds.cold_factor + bounds.cold_extra
-        return choose_gap_s(most=most, members=self._population.count(now))
+        most = self._cold[name].warmup_rate * bounds.cold_factor + bounds.cold_extra
+        return compute_interval_s(max_per_s=most, members=self._population.count(now))
 
-    def _list_outside_regions(self, allowed_regions: Homes) -> frozenset[str]:
+    def _list_outside_regions(self, allowed_regions: AllowedRegions) -> frozenset[str]:
         if allowed_regions is None:
             return NO_BACKENDS
         found = self._outside_regions.get(allowed_regions)
@@ -156,14 +158,16 @@
         for record in self._replica.backends.values():
             plan = plans.get(record.service)
             if record.failure_domain in ended and plan is not None:
-                self._replica.cold.note(record.incarnation, plan.cold_s, now)
+                self._replica.cold_servers.record(
+                    record.incarnation, plan.warmup_s, now
+                )
 
     def _check_allowed_regions(self) -> None:
         table = self._replica.table
         if table is None or table.configuration.version == self._checked_version:
             return
         self._checked_version = table.configuration.version
-        unknown = self._regions.list_unknown_homes(table.configuration)
+        unknown = self._regions.list_unknown_regions(table.configuration)
         if unknown:
             log_event(
                 "homes_unknown",
--- a/src/baobabthread/instance/selection.py
+++ b/src/baobabthread/instance/selection.py
@@ -13,9 +13,9 @@
 from baobabthread.instance.context import RequestContext
 from baobabthread.instance.estimates import Estimates
 from baobabthread.instance.placement import PlacedPrompt, Placement
-from baobabthread.routing.knowledge import Knowledge
-from baobabthread.routing.mechanisms import Mechanism, Switches
+from baobabthread.routing.mechanisms import DisabledMechanisms, Mechanism
 from baobabthread.routing.reasons import VersionReason
+from baobabthread.routing.replica import StateReplica
 from baobabthread.routing.versions import VersionPlan
 
 NO_VERSION = ""
@@ -40,11 +40,11 @@
     def __init__(
         self,
         *,
-        replica: Knowledge,
+        replica: StateReplica,
         backends: Backends,
         estimates: Estimates,
         placement: Placement,
-        disabled: Switches,
+        disabled: DisabledMechanisms,
     ) -> None:
         self._replica = replica
         self._backends = backends
@@ -114,7 +114,7 @@
 
     def place(self, flight: RequestContext, link: BackendLink) -> PlacedPrompt | None:
         """Tell of the prompt that an engine is to read; nothing at a plain service."""
-        if not flight.route.is_stream or Mechanism.LOADS in self._disabled:
+        if not flight.route.is_stream or Mechanism.LOAD_QUERIES in self._disabled:
             return None
         return self._placement.place(
             link.name,
@@ -131,7 +131,7 @@
 
     def _list_candidates(self, flight: RequestContext) -> list[str]:
         """Return the engines to choose among; none where all are looked at alike."""
-        if not flight.route.is_stream or Mechanism.LOADS in self._disabled:
+        if not flight.route.is_stream or Mechanism.LOAD_QUERIES in self._disabled:
             return []
         return self._backends.list_candidates(
             flight.service,
@@ -181,7 +181,7 @@
             prefix_key=self._hash_prefix(flight),
             exclude=excluded | flight.non_canaries,
             allowed_regions=flight.allowed_regions,
-            may_probe=flight.route.may_repeat and flight.attempts == 0,
+            may_probe=flight.route.may_retry and flight.attempts == 0,
             shared_s=self._estimates.shared_s(flight),
             shared_tokens=flight.request.envelope.shared_tokens,
             loads=loads,
@@ -190,7 +190,7 @@
 
     def _hash_prefix(self, flight: RequestContext) -> int | None:
         key = flight.prefix
-        if key is None or Mechanism.HOMES in self._disabled:
+        if key is None or Mechanism.PROMPT_AFFINITY in self._disabled:
             return None
         return hash_prefix(key)
 
--- a/src/baobabthread/instance/services.py
+++ b/src/baobabthread/instance/services.py
@@ -7,7 +7,7 @@
 from baobabthread.instance.backends import Backends
 from baobabthread.instance.clock import now
 from baobabthread.routing.bounds import RoutingBounds
-from baobabthread.routing.budget import Arrivals, Members, RepeatBudget
+from baobabthread.routing.budget import ArrivalEstimator, MemberCount, RetryBudget
 from baobabthread.routing.queues import ServiceQueue
 from baobabthread.routing.versions import VersionPlan
 
@@ -20,11 +20,13 @@
 
     __slots__ = ("budget", "name", "plan", "queue")
 
-    def __init__(self, *, name: str, bounds: RoutingBounds, members: Members) -> None:
+    def __init__(
+        self, *, name: str, bounds: RoutingBounds, members: MemberCount
+    ) -> None:
         self.name = name
         self.queue = ServiceQueue()
         self.plan = VersionPlan(service=name, bounds=bounds)
-        self.budget = RepeatBudget(bounds=bounds, members=members)
+        self.budget = RetryBudget(bounds=bounds, members=members)
 
     def spend(self) -> bool:
         """Take a repeat out of the budget; return whether there was one."""
@@ -43,8 +45,8 @@
         self._bounds = bounds
         self._entries = 1
         self._states: dict[str, ServiceState] = {}
-        self.arrivals = Arrivals()
-        self._members = Members(
+        self.arrivals = ArrivalEstimator()
+        self._members = MemberCount(
             is_single=is_single, settled_at=now() + bounds.retry_window_s
         )
 
@@ -80,7 +82,7 @@
     def share(self, entries: int) -> None:
         """Divide capacity and the fixed part of repeats among so many instances."""
         self._entries = max(1, entries)
-        self._members.note(self._entries)
+        self._members.record(self._entries)
         for state in self:
             capacity = self._backends.capacity(state.name)
             state.queue.set_capacity(capacity, self._entries)
--- a/src/baobabthread/instance/settings.py
+++ b/src/baobabthread/instance/settings.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from baobabthread.routing.bounds import RoutingBounds
-from baobabthread.routing.mechanisms import NONE_OFF, Switches
+from baobabthread.routing.mechanisms import NONE_DISABLED, DisabledMechanisms
 
 
 class InstanceSettings(msgspec.Struct, frozen=True, kw_only=True):
@@ -27,7 +27,7 @@
     store_address: str
     memory_mb: int = 300
     bounds: RoutingBounds = RoutingBounds()
-    off: Switches = NONE_OFF
+    off: DisabledMechanisms = NONE_DISABLED
     """Mechanisms that are switched off, to measure what they are worth."""
     regions: dict[str, str] = {}
     """Areas by failure domain."""
--- a/src/baobabthread/instance/store.py
+++ b/src/baobabthread/instance/store.py
@@ -13,7 +13,7 @@
     RolloutStatus,
     RoutingConfiguration,
 )
-from baobabthread.routing.quarantine import Held
+from baobabthread.routing.quarantine import QuarantineEntry
 
 
 class StoreError(Exception):
@@ -98,11 +98,13 @@
     def encode_status(self, status: RolloutStatus, expected_end: int) -> Append:
         """Return the record that says how far a roll-out has come."""
 
-    def decode_quarantined(self, record: Record, *, unix_now: float) -> Held | None:
+    def decode_quarantined(
+        self, record: Record, *, unix_now: float
+    ) -> QuarantineEntry | None:
         """Decode a request that is held; nothing for other records there."""
 
     def encode_quarantined(
-        self, entry: Held, expected_end: int, *, unix_now: float
+        self, entry: QuarantineEntry, expected_end: int, *, unix_now: float
     ) -> Append:
         """Return the record of a request that is held."""
 
--- a/src/baobabthread/platform/interface.py
+++ b/src/baobabthread/platform/interface.py
@@ -7,12 +7,12 @@
 import msgspec
 from aiohttp import web
 
-from baobabthread.routing.directory import Directory
+from baobabthread.routing.directory import AddressList
 
 READY_PATH = "/-/readiness"
 RESOLVE_PATH = "/-/resolve"
 
-FindAddresses = Callable[[str | None, str | None], Directory]
+FindAddresses = Callable[[str | None, str | None], AddressList]
 """By the caller's failure domain and area."""
 
 
--- a/src/baobabthread/platform/records.py
+++ b/src/baobabthread/platform/records.py
@@ -14,17 +14,17 @@
     BackendRecord,
     Evacuation,
     ModelCost,
-    Repeatability,
+    RequestKind,
     RequestLimits,
     RolloutOrder,
     RolloutState,
     RolloutStatus,
     Route,
     RoutingConfiguration,
-    ServicePlan,
+    ServiceConfiguration,
     Target,
 )
-from baobabthread.routing.quarantine import Held
+from baobabthread.routing.quarantine import QuarantineEntry
 
 CONFIGURATION_KEY = "config"
 ROLLOUT_PREFIX = "rollout/"
@@ -34,8 +34,8 @@
 MS_PER_S = 1000.0
 
 _REPEATABILITY_BY_KIND = {
-    "idempotent": Repeatability.IDEMPOTENT,
-    "streaming": Repeatability.STREAM,
+    "idempotent": RequestKind.IDEMPOTENT,
+    "streaming": RequestKind.STREAM,
 }
 _BACKEND_REMEDY = "let only backend servers write there; theirs has all fields"
 _CONFIGURATION_REMEDY = (
@@ -204,12 +204,14 @@
             expected_end=expected_end,
         )
 
-    def decode_quarantined(self, record: Record, *, unix_now: float) -> Held | None:
+    def decode_quarantined(
+        self, record: Record, *, unix_now: float
+    ) -> QuarantineEntry | None:
         """Decode a request that is held; nothing for other records there."""
         if not record.key.startswith(QUARANTINE_PREFIX) or not record.value:
             return None
         found = msgspec.json.decode(record.value, type=_Quarantined)
-        return Held(
+        return QuarantineEntry(
             fingerprint=record.key.removeprefix(QUARANTINE_PREFIX),
             service=found.service,
             times=found.times,
@@ -219,7 +221,7 @@
         )
 
     def encode_quarantined(
-        self, entry: Held, expected_end: int, *, unix_now: float
+        self, entry: QuarantineEntry, expected_end: int, *, unix_now: float
     ) -> Append:
         """Return the record of a request that is held."""
         record = _Quarantined(
@@ -269,7 +271,7 @@
                 name=t.name,
                 keys=tuple(t.api_keys),
                 priority=t.priority,
-                homes=tuple(t.allowed_regions),
+                allowed_regions=tuple(t.allowed_regions),
             )
             for t in found.tenants
         ),
@@ -287,9 +289,7 @@
         host=route.host,
         path_prefix=route.path_prefix,
         # A kind that this side doesn't know must not run twice.
-        repeatability=_REPEATABILITY_BY_KIND.get(
-            route.kind, Repeatability.NON_IDEMPOTENT
-        ),
+        kind=_REPEATABILITY_BY_KIND.get(route.kind, RequestKind.NON_IDEMPOTENT),
         targets=targets,
         timeout_s=route.timeout_ms / MS_PER_S,
         objective_s=(route.slo_ms or route.timeout_ms) / MS_PER_S,
@@ -299,21 +299,21 @@
         public=route.public,
         has_prompts=route.sticky,
         resumable=route.resumable,
-        pause_s=route.gap_target_ms / MS_PER_S,
-        homes=tuple(route.allowed_regions),
+        max_event_gap_s=route.gap_target_ms / MS_PER_S,
+        allowed_regions=tuple(route.allowed_regions),
     )
 
 
-def _translate_service(service: _Service) -> ServicePlan:
+def _translate_service(service: _Service) -> ServiceConfiguration:
     engine = service.engine or _Engine()
-    return ServicePlan(
+    return ServiceConfiguration(
         name=service.name,
         max_connections=service.max_conns,
         capacity=engine.slots,
         memory_tokens=engine.kv_capacity_tokens,
         models=tuple(ModelCost(name=m.name, cost=m.cost) for m in engine.models),
-        cold_s=service.cold_s,
-        cold_rate=service.cold_per_s,
+        warmup_s=service.cold_s,
+        warmup_rate=service.cold_per_s,
     )
 
 
@@ -338,7 +338,7 @@
         capacity=max(1, found.slots),
         leaving=found.state is _ServerState.DRAINING,
         started_ms=max(0, found.born),
-        cold_left_s=_parse_cold_left_s(found.cold_left_ms),
+        warmup_left_s=_parse_cold_left_s(found.cold_left_ms),
     )
 
 
--- a/src/baobabthread/routing/configuration.py
+++ b/src/baobabthread/routing/configuration.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-UNNAMED_MODEL = "*"
+ANY_MODEL = "*"
 """What callers send as the model where this side is to choose one."""
 
 
-class Repeatability(enum.StrEnum):
+class RequestKind(enum.StrEnum):
     """Tell how often a request may run."""
 
     IDEMPOTENT = "idempotent"
@@ -33,7 +33,7 @@
     host: str
     path_prefix: str
     """Begins and ends with a slash."""
-    repeatability: Repeatability
+    kind: RequestKind
     targets: tuple[Target, ...]
     timeout_s: float
     """Longest time until the final answer."""
@@ -49,22 +49,22 @@
     has_prompts: bool = False
     """Whether requests name the parts of their prompt, so that caches matter."""
     resumable: bool = False
-    pause_s: float = 0.0
+    max_event_gap_s: float = 0.0
     """Longest pause between events for an answer that is still in time."""
-    homes: tuple[str, ...] = ()
+    allowed_regions: tuple[str, ...] = ()
     """Areas that its requests must not leave; empty where any will do."""
 
     @property
-    def may_repeat(self) -> bool:
+    def may_retry(self) -> bool:
         """Tell whether a request may run again after it may have run."""
-        if self.repeatability is Repeatability.STREAM:
+        if self.kind is RequestKind.STREAM:
             return self.resumable
-        return self.repeatability is Repeatability.IDEMPOTENT
+        return self.kind is RequestKind.IDEMPOTENT
 
     @property
     def is_stream(self) -> bool:
         """Tell whether answers are streams of events."""
-        return self.repeatability is Repeatability.STREAM
+        return self.kind is RequestKind.STREAM
 
 
 class ModelCost(msgspec.Struct, frozen=True, kw_only=True):
@@ -74,7 +74,7 @@
     cost: float
 
 
-class ServicePlan(msgspec.Struct, frozen=True, kw_only=True):
+class ServiceConfiguration(msgspec.Struct, frozen=True, kw_only=True):
     """Describe a service as operators configured it."""
 
     name: str
@@ -85,9 +85,9 @@
     memory_tokens: int = 0
     """Tokens that one engine holds, running and kept ones; 0 where nothing tells."""
     models: tuple[ModelCost, ...] = ()
-    cold_s: float = 0.0
+    warmup_s: float = 0.0
     """Time for which one of its backend servers is cold after a start."""
-    cold_rate: float = 0.0
+    warmup_rate: float = 0.0
     """Requests a second that a cold one bears; 0 where it makes no difference."""
 
 
@@ -106,7 +106,7 @@
     keys: tuple[str, ...]
     priority: int | None = None
     """Rank of its requests, before that of the route."""
-    homes: tuple[str, ...] = ()
+    allowed_regions: tuple[str, ...] = ()
     """Areas that its requests must not leave; empty where any will do."""
 
 
@@ -115,7 +115,7 @@
 
     version: int
     routes: tuple[Route, ...]
-    services: tuple[ServicePlan, ...]
+    services: tuple[ServiceConfiguration, ...]
     limits: RequestLimits = RequestLimits()
     accounts: tuple[Account, ...] = ()
 
@@ -132,7 +132,7 @@
     leaving: bool = False
     started_ms: int = 0
     """Unix millisecond of its start; 0 where it tells none and its id is enough."""
-    cold_left_s: float = 0.0
+    warmup_left_s: float = 0.0
     """How much longer it is cold, from the moment at which this was told."""
 
     @property
--- a/src/baobabthread/routing/crashes.py
+++ b/src/baobabthread/routing/crashes.py
@@ -13,24 +13,24 @@
 
 import msgspec
 
-ENOUGH_CRASHES = 3
+MIN_CRASHES = 3
 """Crashes that one request must explain before it is held: two happen by chance where
 servers are lost in a row, and each one more costs callers another server."""
-SURE_CRASHES = 6
+MIN_CRASHES_IF_AMBIGUOUS = 6
 """Crashes from which all requests that were at each of them are held together. A good
 one does not come that far: its route bounds its tries, and it is answered at last."""
 SETTLE_S = 0.15
 """Time from the first word of a crash until it counts: instances that find it later
 name more requests, and without them the wrong one could be the only one."""
-KEEP_S = 600.0
+RETENTION_S = 600.0
 """Time for which a crash is evidence."""
-MOST_CRASHES = 128
+MAX_CRASHES = 128
 """Crashes that are kept, the newest: twice the engines of one large service, some 2 MB
 at its judges where each had 128 requests on it."""
 
 FindDelay = Callable[[str], float]
 """Return by how much longer this judge of a service waits than the first one."""
-IsOnTrial = Callable[[str, str], bool]
+IsCanary = Callable[[str, str], bool]
 """Tell whether a version of a service is on trial beside another one."""
 
 
@@ -63,7 +63,7 @@
     """Hold a crash with the words of all instances about it."""
 
     __slots__ = (
-        "at",
+        "first_seen_at",
         "fresh",
         "is_counted",
         "is_proven",
@@ -73,7 +73,7 @@
     )
 
     def __init__(self, *, crash: Crash, now: float) -> None:
-        self.at = now
+        self.first_seen_at = now
         self.service = crash.service
         self.version = crash.version
         self.is_proven = False
@@ -89,7 +89,7 @@
         self.older.update(crash.older)
 
     @property
-    def present(self) -> set[str]:
+    def candidates(self) -> set[str]:
         """Give the requests that may have caused it.
 
         A request that crashes servers does so as it begins; one that ran for a while is
@@ -98,7 +98,7 @@
         return self.fresh or self.older
 
 
-class CrashLedger:
+class CrashAnalysis:
     """Keep crashes and find the requests that explain them."""
 
     __slots__ = ("_crashes", "_find_delay", "_unjudged")
@@ -106,16 +106,16 @@
     def __init__(self, *, find_delay: FindDelay = lambda service: 0.0) -> None:
         self._find_delay = find_delay
         self._crashes: dict[str, _Evidence] = {}
-        self._unjudged: set[str] = set()
+        self._pending: set[str] = set()
 
-    def take(self, crash: Crash, now: float) -> None:
+    def record(self, crash: Crash, now: float) -> None:
         """Take in one instance's word of a crash."""
         seen = self._crashes.get(crash.backend)
         if seen is None:
             seen = self._crashes[crash.backend] = _Evidence(crash=crash, now=now)
         seen.add(crash)
-        self._unjudged.add(crash.backend)
-        while len(self._crashes) > MOST_CRASHES:
+        self._pending.add(crash.backend)
+        while len(self._crashes) > MAX_CRASHES:
             self._drop(next(iter(self._crashes)))
 
     def clear(self, fingerprint: str) -> None:
@@ -126,33 +126,35 @@
 
     def is_due(self, now: float) -> bool:
         """Tell whether crashes wait to be judged."""
-        return any(self._is_settled(name, now) for name in self._unjudged)
+        return any(self._is_settled(name, now) for name in self._pending)
 
-    def judge(
+    def find_suspects(
         self,
         now: float,
         *,
-        held: Collection[str],
-        relapsed: Collection[str],
-        is_on_trial: IsOnTrial,
+        quarantined: Collection[str],
+        previously_quarantined: Collection[str],
+        is_canary: IsCanary,
     ) -> list[Suspect]:
         """Return the requests that explain crashes which nothing held explains.
 
         One crash is enough for a request that was held before and is at it again.
         """
-        for name in [n for n, s in self._crashes.items() if now - s.at > KEEP_S]:
+        for name in [
+            n for n, s in self._crashes.items() if now - s.first_seen_at > RETENTION_S
+        ]:
             self._drop(name)
         settled = {name for name in self._crashes if self._is_settled(name, now)}
-        self._unjudged -= settled
+        self._pending -= settled
         unexplained = {
-            name: self._crashes[name].present
+            name: self._crashes[name].candidates
             for name in settled
-            if self._crashes[name].present.isdisjoint(held)
+            if self._crashes[name].candidates.isdisjoint(quarantined)
         }
-        self._drop_bad_versions(unexplained)
+        self._exclude_bad_versions(unexplained)
         found: list[Suspect] = []
         while True:
-            suspect = self._find(unexplained, relapsed, is_on_trial)
+            suspect = self._find_suspect(unexplained, previously_quarantined, is_canary)
             if suspect is None:
                 return found
             found.append(suspect)
@@ -162,10 +164,10 @@
 
     def _is_settled(self, name: str, now: float) -> bool:
         seen = self._crashes[name]
-        return now - seen.at >= SETTLE_S + self._find_delay(seen.service)
+        return now - seen.first_seen_at >= SETTLE_S + self._find_delay(seen.service)
 
-    def count_unproven(
-        self, now: float, held: Collection[str]
+    def list_unproven_crashes(
+        self, now: float, quarantined: Collection[str]
     ) -> list[tuple[str, str]]:
         """Return service and version of crashes to hold against them, each one once.
 
@@ -177,15 +179,15 @@
             if seen.is_counted or not self._is_settled(name, now):
                 continue
             seen.is_counted = True
-            if not seen.is_proven and seen.present.isdisjoint(held):
+            if not seen.is_proven and seen.candidates.isdisjoint(quarantined):
                 found.append((seen.service, seen.version))
         return found
 
     def _drop(self, name: str) -> None:
         self._crashes.pop(name)
-        self._unjudged.discard(name)
+        self._pending.discard(name)
 
-    def _drop_bad_versions(self, crashes: dict[str, set[str]]) -> None:
+    def _exclude_bad_versions(self, crashes: dict[str, set[str]]) -> None:
         """Drop crashes of versions that crash under different requests.
 
         A version that never answers crashes under whatever it is given. Whether it or
@@ -202,31 +204,31 @@
                 for name in names:
                     del crashes[name]
 
-    def _find(
+    def _find_suspect(
         self,
         crashes: dict[str, set[str]],
-        relapsed: Collection[str],
-        is_on_trial: IsOnTrial,
+        previously_quarantined: Collection[str],
+        is_canary: IsCanary,
     ) -> Suspect | None:
         counts = Counter(f for present in crashes.values() for f in present)
         for fingerprint, count in counts.most_common():
-            if count < ENOUGH_CRASHES and fingerprint not in relapsed:
+            if count < MIN_CRASHES and fingerprint not in previously_quarantined:
                 continue
             names = [n for n, present in crashes.items() if fingerprint in present]
             common = set.intersection(*(crashes[name] for name in names))
-            alone = len(common) == 1 or fingerprint in relapsed
-            if not alone and count < SURE_CRASHES:
+            alone = len(common) == 1 or fingerprint in previously_quarantined
+            if not alone and count < MIN_CRASHES_IF_AMBIGUOUS:
                 continue
-            if self._blames_trial(names, is_on_trial):
+            if self._blames_canary(names, is_canary):
                 continue
-            return self._describe(fingerprint, names)
+            return self._make_suspect(fingerprint, names)
         return None
 
-    def _blames_trial(self, names: Iterable[str], is_on_trial: IsOnTrial) -> bool:
+    def _blames_canary(self, names: Iterable[str], is_canary: IsCanary) -> bool:
         seen = [self._crashes[name] for name in names]
-        return all(is_on_trial(each.service, each.version) for each in seen)
+        return all(is_canary(each.service, each.version) for each in seen)
 
-    def _describe(self, fingerprint: str, names: list[str]) -> Suspect:
+    def _make_suspect(self, fingerprint: str, names: list[str]) -> Suspect:
         seen = [self._crashes[name] for name in names]
         is_proven = any(each.is_proven for each in seen)
         versions = () if is_proven else tuple(sorted({each.version for each in seen}))
--- a/src/baobabthread/routing/news.py
+++ b/src/baobabthread/routing/deltas.py
@@ -21,48 +21,48 @@
     RolloutOrder,
     Route,
     RoutingConfiguration,
-    ServicePlan,
+    ServiceConfiguration,
 )
 
-MOST_STEPS = 16
+MAX_DELTAS = 16
 """Steps that are kept: those of some seconds of quick changes."""
-MOST_BYTES = 12_000
+MAX_DELTA_BYTES = 12_000
 """Longest row of steps that is told. Twenty instances would get longer ones from one
 member on a slow link after seconds, and no datagram holds all."""
 
 T = TypeVar("T")
 
 
-class ConfigurationChange(msgspec.Struct, frozen=True, kw_only=True):
+class ConfigurationDelta(msgspec.Struct, frozen=True, kw_only=True):
     """Tell what makes one configuration out of another one."""
 
     before: int
     """Version to which this is to be applied."""
     after: int
-    check: int
+    digest: int
     """Digest of the result: one that differs is read from the store instead."""
     routes: list[Route] = []
     """Those that are new or changed."""
-    routes_gone: list[str] = []
+    routes_removed: list[str] = []
     accounts: list[Account] = []
-    accounts_gone: list[str] = []
-    services: list[ServicePlan] = []
-    services_gone: list[str] = []
+    accounts_removed: list[str] = []
+    services: list[ServiceConfiguration] = []
+    services_removed: list[str] = []
     limits: RequestLimits | None = None
     """Left out where they are the same."""
 
 
-class Step(msgspec.Struct, frozen=True, kw_only=True):
+class OperatorDelta(msgspec.Struct, frozen=True, kw_only=True):
     """Tell what changed between two offsets of the operators' log."""
 
     since: int
     end: int
-    configuration: ConfigurationChange | None = None
+    configuration: ConfigurationDelta | None = None
     orders: list[RolloutOrder] = []
     evacuations: list[Evacuation] = []
 
 
-class Will(msgspec.Struct, frozen=True, kw_only=True):
+class OperatorState(msgspec.Struct, frozen=True, kw_only=True):
     """Hold what operators want, as it was at one offset of their log."""
 
     configuration: RoutingConfiguration | None
@@ -70,100 +70,102 @@
     evacuations: list[Evacuation]
 
 
-class StepLog:
+class DeltaLog:
     """Keep the last steps, so that whoever is a little behind can be told them."""
 
     __slots__ = ("_steps",)
 
     def __init__(self) -> None:
-        self._steps: deque[tuple[Step, int]] = deque(maxlen=MOST_STEPS)
+        self._deltas: deque[tuple[OperatorDelta, int]] = deque(maxlen=MAX_DELTAS)
         """With the bytes that each takes."""
 
-    def add(self, step: Step | None) -> None:
+    def add(self, delta: OperatorDelta | None) -> None:
         """Keep the step that follows the last one; none breaks the row."""
-        size = len(msgspec.json.encode(step)) if step is not None else 0
-        if step is None or size > MOST_BYTES:
-            self._steps.clear()
+        size = len(msgspec.json.encode(delta)) if delta is not None else 0
+        if delta is None or size > MAX_DELTA_BYTES:
+            self._deltas.clear()
         else:
-            self._steps.append((step, size))
+            self._deltas.append((delta, size))
 
-    def list_since(self, offset: int) -> list[Step]:
+    def list_since(self, offset: int) -> list[OperatorDelta]:
         """Return the steps that lead on from an offset.
 
         None where they don't reach so far back, or are too long to be told.
         """
-        found = [(step, size) for step, size in self._steps if step.end > offset]
+        found = [(step, size) for step, size in self._deltas if step.end > offset]
         if not found or found[0][0].since > offset:
             return []
-        if sum(size for _, size in found) > MOST_BYTES:
+        if sum(size for _, size in found) > MAX_DELTA_BYTES:
             return []
         return [step for step, _ in found]
 
 
-def describe_step(before: Will, after: Will, *, since: int, end: int) -> Step | None:
+def make_operator_delta(
+    before: OperatorState, after: OperatorState, *, since: int, end: int
+) -> OperatorDelta | None:
     """Return what changed between two offsets; nothing where that can't be told."""
     change = None
     if after.configuration is not before.configuration:
         if before.configuration is None or after.configuration is None:
             return None
-        change = describe_change(before.configuration, after.configuration)
+        change = make_configuration_delta(before.configuration, after.configuration)
         if change is None:
             return None
     orders = [o for name, o in after.orders.items() if before.orders.get(name) != o]
     words = [word for word in after.evacuations if word not in before.evacuations]
-    return Step(
+    return OperatorDelta(
         since=since, end=end, configuration=change, orders=orders, evacuations=words
     )
 
 
-def describe_change(
+def make_configuration_delta(
     before: RoutingConfiguration, after: RoutingConfiguration
-) -> ConfigurationChange | None:
+) -> ConfigurationDelta | None:
     """Return the difference of two configurations; nothing if it can't be told."""
-    if not _has_own_names(before) or not _has_own_names(after):
+    if not _has_unique_names(before) or not _has_unique_names(after):
         return None
-    routes, routes_gone = _compare(before.routes, after.routes, _route_key)
-    accounts, accounts_gone = _compare(before.accounts, after.accounts, _name)
-    services, services_gone = _compare(before.services, after.services, _name)
-    return ConfigurationChange(
+    routes, routes_gone = _diff(before.routes, after.routes, _route_key)
+    accounts, accounts_gone = _diff(before.accounts, after.accounts, _name)
+    services, services_gone = _diff(before.services, after.services, _name)
+    return ConfigurationDelta(
         before=before.version,
         after=after.version,
-        check=_digest(after),
+        digest=_digest(after),
         routes=routes,
-        routes_gone=routes_gone,
+        routes_removed=routes_gone,
         accounts=accounts,
-        accounts_gone=accounts_gone,
+        accounts_removed=accounts_gone,
         services=services,
-        services_gone=services_gone,
+        services_removed=services_gone,
         limits=after.limits if after.limits != before.limits else None,
     )
 
 
-def apply_change(
-    before: RoutingConfiguration, change: ConfigurationChange
+def apply_configuration_delta(
+    before: RoutingConfiguration, delta: ConfigurationDelta
 ) -> RoutingConfiguration | None:
     """Return the configuration that a difference leads to, or nothing if it doesn't."""
-    if before.version != change.before:
+    if before.version != delta.before:
         return None
     after = RoutingConfiguration(
-        version=change.after,
-        routes=_merge(before.routes, change.routes, change.routes_gone, _route_key),
-        services=_merge(before.services, change.services, change.services_gone, _name),
-        limits=change.limits or before.limits,
-        accounts=_merge(before.accounts, change.accounts, change.accounts_gone, _name),
+        version=delta.after,
+        routes=_merge(before.routes, delta.routes, delta.routes_removed, _route_key),
+        services=_merge(before.services, delta.services, delta.services_removed, _name),
+        limits=delta.limits or before.limits,
+        accounts=_merge(before.accounts, delta.accounts, delta.accounts_removed, _name),
     )
-    return after if _digest(after) == change.check else None
+    return after if _digest(after) == delta.digest else None
 
 
 def _route_key(route: Route) -> str:
     return f"{route.host}{route.path_prefix}"
 
 
-def _name(part: Account | ServicePlan) -> str:
+def _name(part: Account | ServiceConfiguration) -> str:
     return part.name
 
 
-def _has_own_names(configuration: RoutingConfiguration) -> bool:
+def _has_unique_names(configuration: RoutingConfiguration) -> bool:
     """Tell whether each part has a name that no other has: then order tells nothing."""
     names: list[list[str]] = [
         [_route_key(route) for route in configuration.routes],
@@ -173,7 +175,7 @@
     return all(len(set(each)) == len(each) for each in names)
 
 
-def _compare(
+def _diff(
     before: Iterable[T], after: Iterable[T], key: Callable[[T], str]
 ) -> tuple[list[T], list[str]]:
     old = {key(part): part for part in before}
@@ -185,11 +187,11 @@
 def _merge(
     before: Iterable[T],
     changed: Sequence[T],
-    gone: Iterable[str],
+    removed: Iterable[str],
     key: Callable[[T], str],
 ) -> tuple[T, ...]:
     found = {key(part): part for part in before}
-    for name in gone:
+    for name in removed:
         found.pop(name, None)
     found.update({key(part): part for part in changed})
     return tuple(found.values())
--- a/src/baobabthread/routing/evacuations.py
+++ b/src/baobabthread/routing/evacuations.py
@@ -13,39 +13,39 @@
     __slots__ = ("_words", "domains")
 
     def __init__(self) -> None:
-        self._words: dict[str, Evacuation] = {}
+        self._latest: dict[str, Evacuation] = {}
         self.domains: frozenset[str] = frozenset()
         """Failure domains that are evacuated now."""
 
-    def take(self, word: Evacuation) -> bool:
+    def apply(self, evacuation: Evacuation) -> bool:
         """Take over a word unless it is older; return whether it changes anything."""
         # A late answer or a peer that is behind brings an earlier word on the same
         # domain: one that was taken back and given again would be open to requests.
-        known = self._words.get(word.failure_domain)
-        if known is not None and word.number <= known.number:
+        known = self._latest.get(evacuation.failure_domain)
+        if known is not None and evacuation.number <= known.number:
             return False
-        self._words[word.failure_domain] = word
+        self._latest[evacuation.failure_domain] = evacuation
         before = self.domains
-        self.domains = frozenset(d for d, w in self._words.items() if w.is_on)
+        self.domains = frozenset(d for d, w in self._latest.items() if w.is_on)
         return self.domains != before
 
-    def take_all(self, words: Iterable[Evacuation]) -> bool:
+    def apply_all(self, evacuations: Iterable[Evacuation]) -> bool:
         """Take over what a peer knows; return whether it changes anything."""
-        taken = [self.take(word) for word in words]
+        taken = [self.apply(word) for word in evacuations]
         return any(taken)
 
-    def complete(self, listed: Collection[str], end: int) -> bool:
+    def reconcile(self, listed: Collection[str], end: int) -> bool:
         """Take back what a list of all records up to an offset no longer holds.
 
         The record that took it back is gone with the store's history: without this an
         instance that was cut off meanwhile would leave the domain idle for good.
         """
-        return self.take_all(
+        return self.apply_all(
             Evacuation(number=end - 1, failure_domain=domain, is_on=False)
-            for domain, word in list(self._words.items())
+            for domain, word in list(self._latest.items())
             if word.is_on and word.number < end - 1 and domain not in listed
         )
 
     def list(self) -> list[Evacuation]:
         """Return the newest word on each failure domain, those taken back as well."""
-        return list(self._words.values())
+        return list(self._latest.values())
--- a/src/baobabthread/routing/mechanisms.py
+++ b/src/baobabthread/routing/mechanisms.py
@@ -10,16 +10,16 @@
 
     STAGED_MODELS = "staged-models"
     """Begin with the smallest model; without it the largest one answers."""
-    LOADS = "loads"
+    LOAD_QUERIES = "loads"
     """Ask the keepers of engines what waits there."""
-    PRICE = "price"
+    MODEL_COST = "price"
     """Ask larger models for less the longer prompts wait."""
-    PATIENCE = "patience"
+    ATTEMPT_TIMEOUT = "patience"
     """Give up an attempt that is silent and try another backend server."""
-    HOMES = "homes"
+    PROMPT_AFFINITY = "homes"
     """Keep prompts with a common part at one engine."""
 
 
-Switches = frozenset[Mechanism]
+DisabledMechanisms = frozenset[Mechanism]
 """The mechanisms that are switched off."""
-NONE_OFF: Switches = frozenset()
+NONE_DISABLED: DisabledMechanisms = frozenset()
--- a/src/baobabthread/routing/quarantine.py
+++ b/src/baobabthread/routing/quarantine.py
@@ -11,17 +11,17 @@
 import msgspec
 import xxhash
 
-HOLD_S = 600.0
+QUARANTINE_S = 600.0
 """Time for which a request is held at first: long against its callers' patience, short
 enough that a service that was mended serves it again without anybody's help."""
-MOST_HOLD_S = 86_400.0
+MAX_QUARANTINE_S = 86_400.0
 """Longest such time; each time anew is twice as long as the one before."""
-RELAPSE_S = 3600.0
+RELAPSE_WINDOW_S = 3600.0
 """Time after it in which one crash is enough to hold the request again."""
-LATE_S = 10.0
+MERGE_CUTOFF_S = 10.0
 """Time before an entry is forgotten in which it isn't taken over from others any more:
 two instances would otherwise bring it back to each other for ever."""
-MOST_HELD = 128
+MAX_ENTRIES = 128
 """Entries that are kept, those that end last. Each one cost three servers first; all of
 them fit into one datagram, some 12 KB."""
 
@@ -30,7 +30,7 @@
 """Return the versions that a service has now."""
 
 
-class Held(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
+class QuarantineEntry(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
     """Hold one request back, or let it go again."""
 
     fingerprint: str
@@ -45,16 +45,16 @@
     """Where not empty: only while the service has no other version than these."""
 
     @property
-    def number(self) -> tuple[int, bool]:
+    def precedence(self) -> tuple[int, bool]:
         """Give what orders the entries for one request; the highest one counts."""
         return (self.times, self.is_cleared)
 
 
-class _Entry:
-    __slots__ = ("held", "until")
+class _Stored:
+    __slots__ = ("entry", "until")
 
-    def __init__(self, *, held: Held, until: float) -> None:
-        self.held = held
+    def __init__(self, *, entry: QuarantineEntry, until: float) -> None:
+        self.entry = entry
         self.until = until
 
 
@@ -64,7 +64,7 @@
     __slots__ = ("_digest", "_entries")
 
     def __init__(self) -> None:
-        self._entries: dict[str, _Entry] = {}
+        self._entries: dict[str, _Stored] = {}
         self._digest: int | None = 0
 
     def __len__(self) -> int:
@@ -75,7 +75,7 @@
         """Give a number that is the same where the same entries are known."""
         if self._digest is None:
             text = ",".join(
-                f"{name}/{entry.held.times}/{entry.held.is_cleared:d}"
+                f"{name}/{entry.entry.times}/{entry.entry.is_cleared:d}"
                 for name, entry in sorted(self._entries.items())
             )
             self._digest = xxhash.xxh3_64_intdigest(text.encode()) >> 1 if text else 0
@@ -83,93 +83,93 @@
 
     def find(
         self, fingerprint: str, find_versions: FindVersions, now: float
-    ) -> Held | None:
+    ) -> QuarantineEntry | None:
         """Return how a request is held, if it is."""
         entry = self._entries.get(fingerprint)
-        if entry is None or entry.held.is_cleared or now >= entry.until:
+        if entry is None or entry.entry.is_cleared or now >= entry.until:
             return None
-        only = entry.held.versions
-        if only and not set(find_versions(entry.held.service)) <= set(only):
+        only = entry.entry.versions
+        if only and not set(find_versions(entry.entry.service)) <= set(only):
             return None
-        return _renew(entry, now)
+        return _with_time_left(entry, now)
 
-    def hold(
+    def add(
         self, fingerprint: str, service: str, versions: tuple[str, ...], now: float
-    ) -> Held:
+    ) -> QuarantineEntry:
         """Hold a request, longer each time."""
         before = self._entries.get(fingerprint)
-        times = 1 + (before.held.times if before is not None else 0)
-        held = Held(
+        times = 1 + (before.entry.times if before is not None else 0)
+        held = QuarantineEntry(
             fingerprint=fingerprint,
             service=service,
             times=times,
-            left_s=min(MOST_HOLD_S, HOLD_S * 2.0 ** min(times - 1, 16)),
+            left_s=min(MAX_QUARANTINE_S, QUARANTINE_S * 2.0 ** min(times - 1, 16)),
             versions=versions,
         )
-        self.take(held, now)
+        self.apply(held, now)
         return held
 
-    def clear(self, fingerprint: str, now: float) -> Held | None:
+    def release(self, fingerprint: str, now: float) -> QuarantineEntry | None:
         """Let a request go that was answered whole; return the entry that says so."""
         entry = self._entries.get(fingerprint)
-        if entry is None or entry.held.is_cleared:
+        if entry is None or entry.entry.is_cleared:
             return None
-        cleared = msgspec.structs.replace(_renew(entry, now), is_cleared=True)
-        self.take(cleared, now)
+        cleared = msgspec.structs.replace(_with_time_left(entry, now), is_cleared=True)
+        self.apply(cleared, now)
         return cleared
 
-    def take(self, held: Held, now: float) -> bool:
+    def apply(self, entry: QuarantineEntry, now: float) -> bool:
         """Take over an entry; return whether it is news."""
-        if held.left_s < LATE_S - RELAPSE_S:
+        if entry.left_s < MERGE_CUTOFF_S - RELAPSE_WINDOW_S:
             return False
-        known = self._entries.get(held.fingerprint)
-        if known is not None and known.held.number >= held.number:
+        known = self._entries.get(entry.fingerprint)
+        if known is not None and known.entry.precedence >= entry.precedence:
             return False
-        until = now + min(held.left_s, MOST_HOLD_S)
-        self._entries[held.fingerprint] = _Entry(held=held, until=until)
+        until = now + min(entry.left_s, MAX_QUARANTINE_S)
+        self._entries[entry.fingerprint] = _Stored(entry=entry, until=until)
         self._digest = None
-        while len(self._entries) > MOST_HELD:
+        while len(self._entries) > MAX_ENTRIES:
             first = min(self._entries, key=lambda name: self._entries[name].until)
             del self._entries[first]
         return True
 
-    def expire(self, now: float) -> list[Held]:
+    def expire(self, now: float) -> list[QuarantineEntry]:
         """Drop the entries that are over; return them."""
         over = [
             name
             for name, entry in self._entries.items()
-            if now - entry.until > RELAPSE_S
+            if now - entry.until > RELAPSE_WINDOW_S
         ]
-        dropped = [_renew(self._entries.pop(name), now) for name in over]
+        dropped = [_with_time_left(self._entries.pop(name), now) for name in over]
         if dropped:
             self._digest = None
         return dropped
 
-    def get(self, fingerprint: str, now: float) -> Held | None:
+    def get(self, fingerprint: str, now: float) -> QuarantineEntry | None:
         """Return the entry for a request, also where it is over or cleared."""
         entry = self._entries.get(fingerprint)
-        return None if entry is None else _renew(entry, now)
+        return None if entry is None else _with_time_left(entry, now)
 
-    def list(self, now: float) -> list[Held]:
+    def list(self, now: float) -> list[QuarantineEntry]:
         """Return all entries as they are now."""
-        return [_renew(entry, now) for entry in self._entries.values()]
+        return [_with_time_left(entry, now) for entry in self._entries.values()]
 
-    def names(self, now: float) -> set[str]:
+    def quarantined(self, now: float) -> set[str]:
         """Return the fingerprints of what is held."""
         return {
             name
             for name, entry in self._entries.items()
-            if now < entry.until and not entry.held.is_cleared
+            if now < entry.until and not entry.entry.is_cleared
         }
 
-    def relapsed(self, now: float) -> set[str]:
+    def previously_quarantined(self, now: float) -> set[str]:
         """Return the fingerprints of what was held before and isn't any more."""
         return {
             name
             for name, entry in self._entries.items()
-            if now >= entry.until and not entry.held.is_cleared
+            if now >= entry.until and not entry.entry.is_cleared
         }
 
 
-def _renew(entry: _Entry, now: float) -> Held:
-    return msgspec.structs.replace(entry.held, left_s=round(entry.until - now, 2))
+def _with_time_left(entry: _Stored, now: float) -> QuarantineEntry:
+    return msgspec.structs.replace(entry.entry, left_s=round(entry.until - now, 2))
--- a/src/baobabthread/routing/rollouttotals.py
+++ b/src/baobabthread/routing/rollouttotals.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Sequence
 
-from baobabthread.routing.coldness import Population
 from baobabthread.routing.exposure import Exposure, ExposureTotals
 from baobabthread.routing.progress import Progress
 from baobabthread.routing.versions import VersionPlan
+from baobabthread.routing.warmup import SenderCount
 
 ADMIT_WITHOUT_ALL_S = 3.0
 """Time from which on sessions may begin on the new version though some instances have
@@ -33,7 +33,7 @@
     )
 
     def __init__(self) -> None:
-        self._population = Population()
+        self._population = SenderCount()
         self._serving = 1
         self._totals: dict[int, ExposureTotals] = {}
         self._max_serving: dict[int, int] = {}
@@ -46,7 +46,7 @@
     def update_members(self, names: Sequence[str], now: float) -> None:
         """Note which instances serve, this one included."""
         self._serving = max(1, len(names))
-        self._population.note(names, now)
+        self._population.record(names, now)
 
     def update(
         self,
--- a/src/baobabthread/routing/snapshots.py
+++ b/src/baobabthread/routing/snapshots.py
@@ -33,4 +33,4 @@
     """Hold what became of the backend servers that changed since an offset."""
 
     changed: list[BackendRecord]
-    gone: list[str]
+    removed: list[str]
--- a/src/baobabthread/routing/table.py
+++ b/src/baobabthread/routing/table.py
@@ -8,21 +8,21 @@
     Account,
     Route,
     RoutingConfiguration,
-    ServicePlan,
+    ServiceConfiguration,
 )
-from baobabthread.routing.homes import find_common_homes
+from baobabthread.routing.regions import find_common_regions
 
 
 class RoutingTable:
     """Answer which route and which client account a request belongs to."""
 
-    __slots__ = ("_accounts", "_hosts", "configuration", "homes", "services")
+    __slots__ = ("_accounts", "_hosts", "configuration", "common_regions", "services")
 
     def __init__(self, *, configuration: RoutingConfiguration) -> None:
         self.configuration = configuration
-        self.homes = find_common_homes(configuration)
+        self.common_regions = find_common_regions(configuration)
         """Areas in which all callers' bodies may be read; empty where any will do."""
-        self.services: dict[str, ServicePlan] = {
+        self.services: dict[str, ServiceConfiguration] = {
             service.name: service for service in configuration.services
         }
         self._accounts: dict[str, Account] = {
--- a/tests/bench/test_fleet.py
+++ b/tests/bench/test_fleet.py
@@ -15,7 +15,7 @@
 from baobabthread.instance.clock import now
 from baobabthread.routing.bounds import RoutingBounds
 from baobabthread.routing.crashes import Crash
-from baobabthread.routing.quarantine import MOST_HELD
+from baobabthread.routing.quarantine import MAX_ENTRIES
 
 CONTACT_S = 5.0
 """Time after which such an installation takes an instance for one in touch."""
@@ -217,8 +217,8 @@
     async def case(fleet: Fleet) -> None:
         await meet(fleet)
         for member in fleet.up():
-            for number in range(MOST_HELD):
-                member.link.quarantine.quarantine.hold(
+            for number in range(MAX_ENTRIES):
+                member.link.quarantine.quarantine.add(
                     f"f{number}", "content", (), now()
                 )
             member.link.quarantine.unwritten.clear()
--- a/tests/instance/test_heldrecords.py
+++ b/tests/instance/test_heldrecords.py
@@ -11,7 +11,11 @@
 from baobabthread.instance.heldrecords import HeldRecords
 from baobabthread.instance.quarantine import QuarantineCoordinator
 from baobabthread.instance.store import Append
-from baobabthread.routing.quarantine import HOLD_S, RELAPSE_S, Held
+from baobabthread.routing.quarantine import (
+    QUARANTINE_S,
+    RELAPSE_WINDOW_S,
+    QuarantineEntry,
+)
 
 KEY = f"{HELD_PREFIX}f1"
 
@@ -29,7 +33,7 @@
 
 
 def hold(desk: QuarantineCoordinator) -> None:
-    desk.quarantine.hold("f1", "s", (), now())
+    desk.quarantine.add("f1", "s", (), now())
     desk.unwritten["f1"] = now()
 
 
@@ -78,7 +82,7 @@
         again, other = make_records(store)
         await again._step()
         assert other.find("f1") is None
-        assert other.quarantine.relapsed(now() + HOLD_S) == set()
+        assert other.quarantine.previously_quarantined(now() + QUARANTINE_S) == set()
 
     run_virtually(case())
 
@@ -89,9 +93,11 @@
         records, desk = make_records(store)
         hold(desk)
         await records._step()
-        assert desk.quarantine.expire(now() + HOLD_S + RELAPSE_S + 1.0)
+        assert desk.quarantine.expire(now() + QUARANTINE_S + RELAPSE_WINDOW_S + 1.0)
         # What the store still names as held must not come back by reading it.
-        old = Held(fingerprint="f1", service="s", times=1, left_s=-RELAPSE_S)
+        old = QuarantineEntry(
+            fingerprint="f1", service="s", times=1, left_s=-RELAPSE_WINDOW_S
+        )
         store.write(Formats.status_topic, KEY, old)
         desk.unwritten["f1"] = now()
         await records._step()
--- a/tests/instance/test_quarantine.py
+++ b/tests/instance/test_quarantine.py
@@ -16,7 +16,7 @@
 from baobabthread.routing.bounds import RoutingBounds
 from baobabthread.routing.configuration import RolloutOrder, RolloutState, RolloutStatus
 from baobabthread.routing.crashes import SETTLE_S, Crash
-from baobabthread.routing.quarantine import Held
+from baobabthread.routing.quarantine import QuarantineEntry
 from baobabthread.routing.versions import VersionPlan
 
 
@@ -30,7 +30,7 @@
         """Keep one message."""
         self.words.append((to, word))
 
-    def entries(self) -> list[Held]:
+    def entries(self) -> list[QuarantineEntry]:
         """Return the entries of all messages."""
         found = [word for _, word in self.words if isinstance(word, QuarantineEntries)]
         return [held for word in found for held in word.entries]
@@ -44,9 +44,9 @@
     return desk, told
 
 
-def make_held(fingerprint: str = "f1", **more: object) -> Held:
+def make_held(fingerprint: str = "f1", **more: object) -> QuarantineEntry:
     fields: dict[str, object] = {"service": "s", "times": 1, "left_s": 60.0}
-    return Held(fingerprint=fingerprint, **(fields | more))  # type: ignore[arg-type]
+    return QuarantineEntry(fingerprint=fingerprint, **(fields | more))  # type: ignore[arg-type]
 
 
 def test_say_nothing_while_nothing_is_held() -> None:
--- a/tests/instance/test_relaying.py
+++ b/tests/instance/test_relaying.py
@@ -11,8 +11,12 @@
 from baobabthread.instance.relaying import AskKnowledge, KnowledgeIs, Relay
 from baobabthread.routing.bounds import RoutingBounds
 from baobabthread.routing.configuration import BackendRecord
-from baobabthread.routing.knowledge import RETURN_S, UNSTABLE_S, Knowledge
-from baobabthread.routing.sources import Sources
+from baobabthread.routing.readers import ReaderAssignment
+from baobabthread.routing.replica import (
+    LAPSED_RECORD_GRACE_S,
+    STORE_OUTAGE_GAP_S,
+    StateReplica,
+)
 
 NAMES = ["i1", "i2", "i3", "i4", "i5", "i6"]
 
@@ -31,7 +35,7 @@
     """Hold one instance's relay and what it sent and fetched."""
 
     def __init__(self, name: str, names: list[str]) -> None:
-        self.knowledge = Knowledge(bounds=RoutingBounds())
+        self.knowledge = StateReplica(bounds=RoutingBounds())
         self.sent: list[tuple[str, Any]] = []
         self.fetched: list[str] = []
         self.relay = Relay(
@@ -47,8 +51,8 @@
 
     def read(self, end: int, at: float) -> None:
         """Note that this instance read both topics itself."""
-        self.knowledge.note_operators_read(end=end, asked_at=at)
-        self.knowledge.note_backends_read(end=end, asked_at=at, now=at)
+        self.knowledge.record_operators_read(end=end, requested_at=at)
+        self.knowledge.record_backends_read(end=end, requested_at=at, now=at)
 
 
 @pytest.fixture
@@ -119,7 +123,7 @@
     reader.relay.answer("member", AskKnowledge(sequence=1))
     reader.relay.tick()
     reader.sent.clear()
-    reader.knowledge.take_backend(
+    reader.knowledge.apply_backend(
         BackendRecord(
             id="b1",
             service="s",
@@ -166,7 +170,7 @@
     """Return the reader, those that stand by for it, and all others."""
     readers, others = make_members(count)
     by_name = {member.relay._me: member for member in others}
-    sources = Sources(me="-", names=[f"i{number}" for number in range(count)])
+    sources = ReaderAssignment(me="-", names=[f"i{number}" for number in range(count)])
     standbys = [by_name.pop(name) for name in sources.standbys]
     return readers[0], standbys, list(by_name.values())
 
@@ -209,7 +213,7 @@
 
     Each that took itself for the only one would read twice a second for all others.
     """
-    knowledge = Knowledge(bounds=RoutingBounds())
+    knowledge = StateReplica(bounds=RoutingBounds())
     relay = Relay(
         me="i0",
         knowledge=knowledge,
@@ -217,7 +221,7 @@
         fetch=lambda name: None,
         has_seeds=True,
     )
-    knowledge.note_operators_read(end=5, asked_at=clock.time)
+    knowledge.record_operators_read(end=5, requested_at=clock.time)
     assert not relay.needs_operators()
     clock.time += 3.0
     assert relay.is_reader
@@ -234,7 +238,7 @@
         capacity=1,
         leaving=leaving,
     )
-    member.knowledge.take_backend(record)
+    member.knowledge.apply_backend(record)
 
 
 def test_tell_changes_one_by_one(clock: Clock) -> None:
@@ -249,7 +253,7 @@
         change_backend(each, 2)
         each.read(5, clock.time)
     change_backend(reader, 1, leaving=True)
-    reader.knowledge.drop_backend("b2", clock.time + 5.0)
+    reader.knowledge.remove_backend("b2", clock.time + 5.0)
     reader.read(7, clock.time)
     member.relay.tick()
     ((_, question),) = member.sent
@@ -259,7 +263,7 @@
     assert word.gone == ["b2"]
     clock.time += 5.0
     member.relay.take("reader", word)
-    member.knowledge.expire(clock.time)
+    member.knowledge.expire_lapsed(clock.time)
     assert member.fetched == []
     assert member.knowledge.backends["b1"].leaving
     assert set(member.knowledge.backends) == {"b1"}
@@ -294,23 +298,23 @@
         change_backend(each, 1)
         change_backend(each, 2)
         each.read(5, clock.time)
-    clock.time += UNSTABLE_S + 0.5
+    clock.time += STORE_OUTAGE_GAP_S + 0.5
     reader.read(5, clock.time)
-    reader.knowledge.drop_backend("b2", clock.time)
+    reader.knowledge.remove_backend("b2", clock.time)
     reader.read(7, clock.time)
     if by_list:
         snapshot = reader.knowledge.snapshot(clock.time)
-        member.knowledge.merge(snapshot, asked_at=clock.time, now=clock.time)
+        member.knowledge.merge(snapshot, requested_at=clock.time, now=clock.time)
     else:
         ask(member, reader)
     assert "b2" in reader.knowledge.backends
     assert "b2" in member.knowledge.backends
-    clock.time += RETURN_S + 0.1
-    reader.knowledge.expire(clock.time)
+    clock.time += LAPSED_RECORD_GRACE_S + 0.1
+    reader.knowledge.expire_lapsed(clock.time)
     reader.read(7, clock.time)
     ask(member, reader)
     assert set(reader.knowledge.backends) == {"b1"}
-    member.knowledge.expire(clock.time + RETURN_S + 0.1)
+    member.knowledge.expire_lapsed(clock.time + LAPSED_RECORD_GRACE_S + 0.1)
     assert set(member.knowledge.backends) == {"b1"}
     assert member.fetched == []
     assert ask(member, reader).gone == []
@@ -324,9 +328,9 @@
         change_backend(each, 1)
         change_backend(each, 2)
         each.read(5, clock.time)
-    clock.time += UNSTABLE_S + 0.5
+    clock.time += STORE_OUTAGE_GAP_S + 0.5
     reader.read(5, clock.time)
-    reader.knowledge.drop_backend("b2", clock.time)
+    reader.knowledge.remove_backend("b2", clock.time)
     change_backend(reader, 1, leaving=True)
     reader.read(7, clock.time)
     ask(member, reader)
--- a/tests/instance/test_selection.py
+++ b/tests/instance/test_selection.py
@@ -51,7 +51,7 @@
         backends=backends,
         estimates=Estimates(),
         placement=nothing,
-        disabled=frozenset({Mechanism.LOADS, Mechanism.HOMES}),
+        disabled=frozenset({Mechanism.LOAD_QUERIES, Mechanism.PROMPT_AFFINITY}),
     )
 
 
--- a/tests/platform/site.py
+++ b/tests/platform/site.py
@@ -17,7 +17,7 @@
 from baobabthread.platform.records import PlatformRecordFormat
 from baobabthread.platform.settings import parse_settings
 from baobabthread.platform.store import PlatformStore
-from baobabthread.routing.mechanisms import NONE_OFF, Switches
+from baobabthread.routing.mechanisms import NONE_DISABLED, DisabledMechanisms
 from baobabthread.standins.loopback import own_network
 from tests.platform.fakecallers import HOST, KEY, MODEL_FIELDS, CallerResponse, call
 from tests.platform.fakes import FakeBackend
@@ -108,7 +108,7 @@
         name: str = "i1",
         *,
         ip: str = "127.0.0.1",
-        off: Switches = NONE_OFF,
+        off: DisabledMechanisms = NONE_DISABLED,
         zone: str = "a",
     ) -> int:
         """Start an instance, some mechanisms switched off; return its index."""
@@ -187,7 +187,9 @@
 
 @contextlib.asynccontextmanager
 async def open_site(
-    *backends: FakeBackend | str, off: Switches = NONE_OFF, **more: object
+    *backends: FakeBackend | str,
+    off: DisabledMechanisms = NONE_DISABLED,
+    **more: object,
 ) -> AsyncIterator[Site]:
     """Open an installation with one instance that is ready.
 
--- a/tests/platform/test_cold.py
+++ b/tests/platform/test_cold.py
@@ -130,7 +130,7 @@
             server = site.backends[0]
             server.become_cold(3.0)
             site.store.put(BACKENDS, "p1", server.record | {"seq": 2})
-            cold = site.instances[0].knowledge.cold
+            cold = site.instances[0].knowledge.cold_servers
             await wait_for(lambda: cold.names() == ["p1"], 2.0)
             await press(site, 1.0)
             assert server.count_peak_cold_arrivals() <= MOST
@@ -184,8 +184,8 @@
                 backend = next(b for b in site.backends if b.id == id)
                 site.store.put(BACKENDS, id, backend.record | {"cold_left_ms": left_ms})
             knowledge = site.instances[0].knowledge
-            await wait_for(lambda: knowledge.cold.names() == ["p1"], 2.0)
-            assert knowledge.cold.left_s("p1", 0.0) < 1e9
+            await wait_for(lambda: knowledge.cold_servers.names() == ["p1"], 2.0)
+            assert knowledge.cold_servers.left_s("p1", 0.0) < 1e9
             assert (await site.call("/safe/x")).status == 200
             site.store.put(
                 BACKENDS, "p2", site.backends[1].record | {"cold_left_ms": "soon"}
--- a/tests/platform/test_mechanisms.py
+++ b/tests/platform/test_mechanisms.py
@@ -34,7 +34,7 @@
     run(case())
 
 
-@pytest.mark.parametrize(("off", "count"), [(None, 1), (Mechanism.LOADS, 0)])
+@pytest.mark.parametrize(("off", "count"), [(None, 1), (Mechanism.LOAD_QUERIES, 0)])
 def test_tell_of_loads_only_with_them(
     monkeypatch: pytest.MonkeyPatch, off: Mechanism | None, count: int
 ) -> None:
@@ -53,7 +53,7 @@
     """
 
     async def case() -> None:
-        for off, status in ((None, 200), (Mechanism.PATIENCE, 504)):
+        for off, status in ((None, 200), (Mechanism.ATTEMPT_TIMEOUT, 504)):
             switches = frozenset() if off is None else frozenset([off])
             async with open_site("p1", off=switches) as site:
                 site.backends[0].behaviour = "mute"
@@ -64,7 +64,7 @@
                     for _ in range(4)
                 }
                 assert status in statuses
-                assert (504 in statuses) == (off is Mechanism.PATIENCE)
+                assert (504 in statuses) == (off is Mechanism.ATTEMPT_TIMEOUT)
 
     run(case())
 
--- a/tests/platform/test_streams.py
+++ b/tests/platform/test_streams.py
@@ -215,7 +215,7 @@
         async with open_site("e1") as site:
             admission = site.instances[0].forwarder.admission
             moment = now()
-            plan = plan_stop(grace_s=8.0, now=moment, earliest=moment)
+            plan = plan_stop(grace_s=8.0, now=moment, signalled_at=moment)
             admission.begin_stop(
                 msgspec.structs.replace(
                     plan, serves_all_until=moment, takes_until=moment + 3.0
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -23,12 +23,12 @@
 from baobabthread.platform.settings import parse_settings, read_settings
 from baobabthread.platform.store import PlatformStore
 from baobabthread.routing.configuration import (
-    Repeatability,
+    RequestKind,
     RolloutOrder,
     RolloutState,
     RolloutStatus,
 )
-from baobabthread.routing.quarantine import Held
+from baobabthread.routing.quarantine import QuarantineEntry
 from tests.platform.fakestore import FakeStore
 from tests.platform.site import make_configuration, run
 
@@ -96,19 +96,19 @@
 def test_decode_a_configuration() -> None:
     found = decode_configuration(json.dumps(make_configuration(9)).encode())
     assert found.version == 9
-    kinds = {route.name: route.repeatability for route in found.routes}
-    assert kinds["safe"] is Repeatability.IDEMPOTENT
-    assert kinds["unsafe"] is Repeatability.NON_IDEMPOTENT
+    kinds = {route.name: route.kind for route in found.routes}
+    assert kinds["safe"] is RequestKind.IDEMPOTENT
+    assert kinds["unsafe"] is RequestKind.NON_IDEMPOTENT
     stream = next(route for route in found.routes if route.name == "stream")
-    assert stream.may_repeat and stream.is_stream and stream.has_prompts
-    assert not next(route for route in found.routes if route.name == "once").may_repeat
+    assert stream.may_retry and stream.is_stream and stream.has_prompts
+    assert not next(route for route in found.routes if route.name == "once").may_retry
 
 
 def test_let_nothing_of_an_unknown_kind_run_twice() -> None:
     text = make_configuration()
     text["routes"][0]["kind"] = "keyed"  # type: ignore[index]
     found = decode_configuration(json.dumps(text).encode())
-    assert not found.routes[0].may_repeat
+    assert not found.routes[0].may_retry
 
 
 @pytest.mark.parametrize("value", [b"", b"[]", b'{"version":"x"}', b'{"routes":[]}'])
@@ -291,7 +291,7 @@
 
 def test_store_a_held_request_by_the_time_of_its_end() -> None:
     formats = PlatformRecordFormat()
-    held = Held(
+    held = QuarantineEntry(
         fingerprint="f1",
         service="s",
         times=2,
--- a/tests/routing/test_budget.py
+++ b/tests/routing/test_budget.py
@@ -12,9 +12,9 @@
 from baobabthread.routing.budget import (
     BACKLOG_S,
     STALL_S,
-    Arrivals,
-    Members,
-    RepeatBudget,
+    ArrivalEstimator,
+    MemberCount,
+    RetryBudget,
 )
 
 BOUNDS = RoutingBounds(retry_ratio=0.9, retry_extra=52, retry_window_s=10.0)
@@ -25,11 +25,13 @@
 
 def make_budget(
     bounds: RoutingBounds, *, known: int = 1, started_at: float = -100.0
-) -> RepeatBudget:
+) -> RetryBudget:
     """Return the budget of an instance that has seen so many members."""
-    members = Members(is_single=False, settled_at=started_at + bounds.retry_window_s)
-    members.note(known)
-    return RepeatBudget(bounds=bounds, members=members)
+    members = MemberCount(
+        is_single=False, settled_at=started_at + bounds.retry_window_s
+    )
+    members.record(known)
+    return RetryBudget(bounds=bounds, members=members)
 
 
 class Played(msgspec.Struct):
@@ -83,7 +85,7 @@
             mood_until = moment + rng.uniform(0.5, 6.0)
             is_eager = rng.random() < 0.6
         if rate:
-            budget.count_request(moment)
+            budget.record_request(moment)
             played.requests.append(moment)
         while is_eager and budget.try_spend(moment):
             played.repeats.append(moment)
@@ -160,7 +162,7 @@
     played: Played,
 ) -> None:
     budget = make_budget(bounds, known=view.known)
-    arrivals = Arrivals()
+    arrivals = ArrivalEstimator()
     starts = [moment_of_all + after for after in view.starts]
     ticked_at = 0.0
     wanted: list[float] = []
@@ -179,7 +181,7 @@
             wanted.clear()
             budget = make_budget(bounds, known=view.known, started_at=sent)
         played.requests.append(sent)
-        budget.count_request(arrivals.find(seen))
+        budget.record_request(arrivals.estimate_arrival(seen))
         wanted.extend(seen + rng.uniform(0.0, DEMAND_S) for _ in range(2))
         wanted.sort()
         while wanted and wanted[0] <= seen:
@@ -230,14 +232,14 @@
     """
     budget = make_budget(MANY, started_at=0.0)
     for number in range(12):
-        budget.count_request(number * 0.5)
+        budget.record_request(number * 0.5)
     assert sum(budget.try_spend(6.0) for _ in range(20)) >= 9
 
 
 def test_forget_what_was_earned_a_window_ago() -> None:
     budget = make_budget(MANY, known=195)
     for _ in range(100):
-        budget.count_request(0.0)
+        budget.record_request(0.0)
     assert not budget.try_spend(10.0)
 
 
@@ -247,14 +249,14 @@
     With a fresh balance each change of members would give all repeats once more.
     """
     for counts in ((6, 5), (6, 7), (6, 1)):
-        members = Members(is_single=False, settled_at=0.0)
-        members.note(counts[0])
-        budget = RepeatBudget(bounds=BOUNDS, members=members)
+        members = MemberCount(is_single=False, settled_at=0.0)
+        members.record(counts[0])
+        budget = RetryBudget(bounds=BOUNDS, members=members)
         spent = 0
         while budget.try_spend(1.0):
             spent += 1
         assert spent
-        members.note(counts[1])
+        members.record(counts[1])
         assert sum(budget.try_spend(1.0) for _ in range(20)) <= 1
 
 
@@ -266,28 +268,28 @@
     for requests in range(8):
         budget = make_budget(MANY, known=195, started_at=0.0)
         for _ in range(requests):
-            budget.count_request(0.1)
+            budget.record_request(0.1)
         taken = sum(budget.try_spend(0.2) for _ in range(20))
         assert taken <= requests
         assert taken <= MANY.retry_ratio * requests + 0.4
 
 
-def count_fixed(members: Members, now: float) -> int:
-    budget = RepeatBudget(bounds=MANY, members=members)
+def count_fixed(members: MemberCount, now: float) -> int:
+    budget = RetryBudget(bounds=MANY, members=members)
     return sum(budget.try_spend(now) for _ in range(500))
 
 
 def test_take_the_fixed_part_only_where_the_members_are_known() -> None:
     """An instance knows itself alone when it starts, and again when it is cut off."""
-    members = Members(is_single=False, settled_at=10.0)
+    members = MemberCount(is_single=False, settled_at=10.0)
     assert count_fixed(members, 50.0) == 0
-    members.note(10)
+    members.record(10)
     assert count_fixed(members, 9.9) == 0
     share = count_fixed(members, 10.0)
     assert 0 < share <= MANY.retry_extra / 10 / 4
-    members.note(1)
+    members.record(1)
     assert count_fixed(members, 20.0) == share
-    assert count_fixed(Members(is_single=True, settled_at=10.0), 0.0) > share
+    assert count_fixed(MemberCount(is_single=True, settled_at=10.0), 0.0) > share
 
 
 def test_try_the_first_request_elsewhere() -> None:
@@ -296,20 +298,20 @@
     Callers come back to instances that have earned nothing yet.
     """
     budget = make_budget(MANY, started_at=0.0)
-    budget.count_request(0.1)
+    budget.record_request(0.1)
     assert budget.try_spend(0.1)
 
 
 def test_date_requests_back_that_came_while_an_instance_stood_still() -> None:
     """An instance is frozen for six seconds and reads all that came at once."""
-    arrivals = Arrivals()
-    assert arrivals.find(0.0) == 0.0
+    arrivals = ArrivalEstimator()
+    assert arrivals.estimate_arrival(0.0) == 0.0
     for number in range(20):
         arrivals.tick(number / 10)
-    assert arrivals.find(1.9 + STALL_S / 2) == 1.9 + STALL_S / 2
-    assert arrivals.find(8.0) == 1.9
+    assert arrivals.estimate_arrival(1.9 + STALL_S / 2) == 1.9 + STALL_S / 2
+    assert arrivals.estimate_arrival(8.0) == 1.9
     arrivals.tick(8.1)
-    assert arrivals.find(8.2) == 1.9
+    assert arrivals.estimate_arrival(8.2) == 1.9
     for number in range(10):
         arrivals.tick(8.2 + number / 10)
-    assert arrivals.find(8.2 + BACKLOG_S) == 8.2 + BACKLOG_S
+    assert arrivals.estimate_arrival(8.2 + BACKLOG_S) == 8.2 + BACKLOG_S
--- a/tests/routing/test_crashes.py
+++ b/tests/routing/test_crashes.py
@@ -9,13 +9,13 @@
 from hypothesis import strategies as st
 
 from baobabthread.routing.crashes import (
-    ENOUGH_CRASHES,
-    KEEP_S,
-    MOST_CRASHES,
+    MAX_CRASHES,
+    MIN_CRASHES,
+    MIN_CRASHES_IF_AMBIGUOUS,
+    RETENTION_S,
     SETTLE_S,
-    SURE_CRASHES,
     Crash,
-    CrashLedger,
+    CrashAnalysis,
     Suspect,
 )
 
@@ -35,26 +35,26 @@
 
 
 def judge(
-    ledger: CrashLedger,
+    ledger: CrashAnalysis,
     now: float = LATER_S,
     *,
     held: frozenset[str] = frozenset(),
     relapsed: frozenset[str] = frozenset(),
     trial: str = "",
 ) -> list[Suspect]:
-    return ledger.judge(
+    return ledger.find_suspects(
         now,
-        held=held,
-        relapsed=relapsed,
-        is_on_trial=lambda service, version: version == trial,
+        quarantined=held,
+        previously_quarantined=relapsed,
+        is_canary=lambda service, version: version == trial,
     )
 
 
 def find(crashes: list[Crash], **more: object) -> list[str]:
     """Return who is held once all of these crashes have settled."""
-    ledger = CrashLedger()
+    ledger = CrashAnalysis()
     for crash in crashes:
-        ledger.take(crash, 0.0)
+        ledger.record(crash, 0.0)
     return [s.fingerprint for s in judge(ledger, **more)]  # type: ignore[arg-type]
 
 
@@ -69,19 +69,21 @@
 
     Nothing tells them apart by then. The bad one comes again without it.
     """
-    crashes = [make_crash(f"e{n}", "bad", "good") for n in range(ENOUGH_CRASHES)]
+    crashes = [make_crash(f"e{n}", "bad", "good") for n in range(MIN_CRASHES)]
     assert find(crashes) == []
     assert find([*crashes, make_crash("e9", "bad", "other")]) == ["bad"]
 
 
 def test_hold_both_where_they_always_crash_together() -> None:
-    crashes = [make_crash(f"e{n}", "bad", "worse") for n in range(SURE_CRASHES)]
+    crashes = [
+        make_crash(f"e{n}", "bad", "worse") for n in range(MIN_CRASHES_IF_AMBIGUOUS)
+    ]
     assert len(find(crashes)) == 1
     assert find(crashes, held=frozenset({"bad"})) == []
 
 
 def test_hold_nobody_for_crashes_that_are_explained() -> None:
-    crashes = [make_crash(f"e{n}", "bad", "good") for n in range(ENOUGH_CRASHES)]
+    crashes = [make_crash(f"e{n}", "bad", "good") for n in range(MIN_CRASHES)]
     assert find(crashes, held=frozenset({"bad"})) == []
 
 
@@ -99,15 +101,15 @@
 
     Judged at once, the good request would be the only one that was at all of them.
     """
-    ledger = CrashLedger()
+    ledger = CrashAnalysis()
     for name in ("e1", "e2"):
-        ledger.take(make_crash(name, "good"), 0.0)
-        ledger.take(make_crash(name, "bad"), 0.0)
+        ledger.record(make_crash(name, "good"), 0.0)
+        ledger.record(make_crash(name, "bad"), 0.0)
     assert judge(ledger) == []
-    ledger.take(make_crash("e3", "good"), 1.0)
+    ledger.record(make_crash("e3", "good"), 1.0)
     assert not ledger.is_due(1.0 + SETTLE_S / 2)
     assert judge(ledger, 1.0 + SETTLE_S / 2) == []
-    ledger.take(make_crash("e3", "bad"), 1.0 + SETTLE_S / 2)
+    ledger.record(make_crash("e3", "bad"), 1.0 + SETTLE_S / 2)
     assert judge(ledger, 1.0 + LATER_S) == []
 
 
@@ -123,9 +125,9 @@
 
 
 def test_forget_a_request_that_was_answered() -> None:
-    ledger = CrashLedger()
+    ledger = CrashAnalysis()
     for n in range(3):
-        ledger.take(make_crash(f"e{n}", "good"), 0.0)
+        ledger.record(make_crash(f"e{n}", "good"), 0.0)
     ledger.clear("good")
     assert judge(ledger) == []
 
@@ -148,9 +150,9 @@
 
     It is held as long as there is no other version that might serve it.
     """
-    ledger = CrashLedger()
+    ledger = CrashAnalysis()
     for n in range(3):
-        ledger.take(make_crash(f"e{n}", "some", version="v2", is_proven=False), 0.0)
+        ledger.record(make_crash(f"e{n}", "some", version="v2", is_proven=False), 0.0)
     (suspect,) = judge(ledger)
     assert suspect.versions == ("v2",)
 
@@ -167,19 +169,19 @@
 
 
 def test_forget_old_crashes() -> None:
-    ledger = CrashLedger()
-    ledger.take(make_crash("e1", "some"), 0.0)
-    ledger.take(make_crash("e2", "some"), 0.0)
-    ledger.take(make_crash("e3", "some"), KEEP_S + 1.0)
-    assert judge(ledger, KEEP_S + 1.0 + LATER_S) == []
+    ledger = CrashAnalysis()
+    ledger.record(make_crash("e1", "some"), 0.0)
+    ledger.record(make_crash("e2", "some"), 0.0)
+    ledger.record(make_crash("e3", "some"), RETENTION_S + 1.0)
+    assert judge(ledger, RETENTION_S + 1.0 + LATER_S) == []
 
 
 def test_bound_what_is_kept() -> None:
-    ledger = CrashLedger()
-    for n in range(MOST_CRASHES + 50):
-        ledger.take(make_crash(f"e{n}", f"a{n}"), 0.0)
-    assert len(ledger._crashes) == MOST_CRASHES
-    assert not ledger._unjudged - ledger._crashes.keys()
+    ledger = CrashAnalysis()
+    for n in range(MAX_CRASHES + 50):
+        ledger.record(make_crash(f"e{n}", f"a{n}"), 0.0)
+    assert len(ledger._crashes) == MAX_CRASHES
+    assert not ledger._pending - ledger._crashes.keys()
 
 
 @given(
@@ -197,7 +199,7 @@
     it is answered or gives up, and the bad one is held after six crashes at the latest.
     """
     rng = random.Random(seed)
-    ledger = CrashLedger()
+    ledger = CrashAnalysis()
     held: set[str] = set()
     moment, crashes, number = 0.0, 0, 0
     again: list[str] = []
@@ -209,7 +211,7 @@
         for _ in range(rng.randint(0, beside)):
             number += 1
             there.append(f"good{number}")
-        ledger.take(make_crash(f"s{crashes}", "bad", *there), moment)
+        ledger.record(make_crash(f"s{crashes}", "bad", *there), moment)
         again = []
         for good in there:
             left[good] = left.get(good, tries) - 1
@@ -217,15 +219,15 @@
                 again.append(good)
         found = judge(ledger, moment + LATER_S, held=frozenset(held))
         held.update(s.fingerprint for s in found)
-        assert crashes <= SURE_CRASHES
+        assert crashes <= MIN_CRASHES_IF_AMBIGUOUS
     assert held == {"bad"}
 
 
 @pytest.mark.parametrize("rounds", [1, 5])
 def test_judge_once_for_each_crash(rounds: int) -> None:
-    ledger = CrashLedger()
+    ledger = CrashAnalysis()
     for n in range(rounds):
-        ledger.take(make_crash(f"e{n}", "some", f"other{n}"), float(n))
+        ledger.record(make_crash(f"e{n}", "some", f"other{n}"), float(n))
         assert not ledger.is_due(n + SETTLE_S / 2)
         assert ledger.is_due(n + LATER_S)
         judge(ledger, n + LATER_S)
@@ -233,9 +235,9 @@
 
 
 def test_let_the_first_judge_conclude_first() -> None:
-    ledger = CrashLedger(find_delay=lambda service: 1.0)
+    ledger = CrashAnalysis(find_delay=lambda service: 1.0)
     for n in range(3):
-        ledger.take(make_crash(f"e{n}", "bad"), 0.0)
+        ledger.record(make_crash(f"e{n}", "bad"), 0.0)
     assert not ledger.is_due(LATER_S)
     assert judge(ledger, LATER_S) == []
     assert ledger.is_due(1.0 + LATER_S)
@@ -243,11 +245,14 @@
 
 
 def test_count_crashes_of_a_version_that_never_answered_once() -> None:
-    ledger = CrashLedger()
+    ledger = CrashAnalysis()
     for n in range(2):
-        ledger.take(make_crash(f"n{n}", "some", version="v2", is_proven=False), 0.0)
-    ledger.take(make_crash("n2", "bad", version="v2", is_proven=False), 0.0)
-    ledger.take(make_crash("e1", "other"), 0.0)
-    assert ledger.count_unproven(SETTLE_S / 2, held=()) == []
-    assert ledger.count_unproven(LATER_S, held={"bad"}) == [("engine", "v2")] * 2
-    assert ledger.count_unproven(LATER_S, held=()) == []
+        ledger.record(make_crash(f"n{n}", "some", version="v2", is_proven=False), 0.0)
+    ledger.record(make_crash("n2", "bad", version="v2", is_proven=False), 0.0)
+    ledger.record(make_crash("e1", "other"), 0.0)
+    assert ledger.list_unproven_crashes(SETTLE_S / 2, quarantined=()) == []
+    assert (
+        ledger.list_unproven_crashes(LATER_S, quarantined={"bad"})
+        == [("engine", "v2")] * 2
+    )
+    assert ledger.list_unproven_crashes(LATER_S, quarantined=()) == []
--- a/tests/routing/test_news.py
+++ b/tests/routing/test_deltas.py
@@ -12,21 +12,21 @@
 from baobabthread.routing.configuration import (
     Account,
     Evacuation,
-    Repeatability,
+    RequestKind,
     RequestLimits,
     RolloutOrder,
     Route,
     RoutingConfiguration,
-    ServicePlan,
+    ServiceConfiguration,
     Target,
 )
-from baobabthread.routing.knowledge import Knowledge
-from baobabthread.routing.news import (
-    MOST_BYTES,
-    MOST_STEPS,
-    apply_change,
-    describe_change,
+from baobabthread.routing.deltas import (
+    MAX_DELTA_BYTES,
+    MAX_DELTAS,
+    apply_configuration_delta,
+    make_configuration_delta,
 )
+from baobabthread.routing.replica import StateReplica
 
 
 def make_route(name: str, timeout_s: float, service: str) -> Route:
@@ -34,7 +34,7 @@
         name=name,
         host="h",
         path_prefix=f"/{name}/",
-        repeatability=Repeatability.IDEMPOTENT,
+        kind=RequestKind.IDEMPOTENT,
         targets=(Target(service=service),),
         timeout_s=timeout_s,
         objective_s=1.0,
@@ -54,7 +54,10 @@
 )
 SERVICES = st.lists(
     st.builds(
-        ServicePlan, name=NAMES, max_connections=st.integers(1, 3), capacity=st.just(4)
+        ServiceConfiguration,
+        name=NAMES,
+        max_connections=st.integers(1, 3),
+        capacity=st.just(4),
     ),
     unique_by=lambda service: service.name,
 )
@@ -86,10 +89,10 @@
 def test_lead_from_any_configuration_to_any_other(
     before: RoutingConfiguration, after: RoutingConfiguration
 ) -> None:
-    change = describe_change(before, after)
+    change = make_configuration_delta(before, after)
     assert change is not None
     told = msgspec.json.decode(msgspec.json.encode(change), type=type(change))
-    found = apply_change(before, told)
+    found = apply_configuration_delta(before, told)
     assert found is not None
     assert arrange(found) == arrange(after)
 
@@ -104,11 +107,11 @@
 
     A difference that was made for the other one would keep a key that was taken away.
     """
-    change = describe_change(before, after)
+    change = make_configuration_delta(before, after)
     assert change is not None
-    found = apply_change(other, change)
+    found = apply_configuration_delta(other, change)
     assert found is None or arrange(found) == arrange(after)
-    assert apply_change(after, change) is None
+    assert apply_configuration_delta(after, change) is None
 
 
 def test_tell_nothing_of_parts_that_share_a_name() -> None:
@@ -116,11 +119,11 @@
     twice = tuple(make_route("a", timeout_s, "s") for timeout_s in (1.0, 2.0))
     before = RoutingConfiguration(version=1, routes=twice, services=())
     after = RoutingConfiguration(version=2, routes=twice[:1], services=())
-    assert describe_change(before, after) is None
+    assert make_configuration_delta(before, after) is None
 
 
-def make_knowledge() -> Knowledge:
-    return Knowledge(bounds=RoutingBounds())
+def make_knowledge() -> StateReplica:
+    return StateReplica(bounds=RoutingBounds())
 
 
 def configure(version: int, *keys: str, routes: int = 0) -> RoutingConfiguration:
@@ -132,17 +135,17 @@
     )
 
 
-def read(knowledge: Knowledge, end: int, *words: object) -> None:
+def read(knowledge: StateReplica, end: int, *words: object) -> None:
     """Let an instance read the store, in which somebody wrote something."""
     for word in words:
         match word:
             case RoutingConfiguration():
-                knowledge.take_configuration(word)
+                knowledge.apply_configuration(word)
             case RolloutOrder():
-                knowledge.take_order(word)
+                knowledge.apply_order(word)
             case Evacuation():
-                knowledge.take_evacuation(word)
-    knowledge.note_operators_read(end=end, asked_at=float(end))
+                knowledge.apply_evacuation(word)
+    knowledge.record_operators_read(end=end, requested_at=float(end))
 
 
 def test_follow_step_by_step() -> None:
@@ -154,16 +157,16 @@
     evacuation = Evacuation(number=3, failure_domain="a", is_on=True)
     read(reader, 2, configure(2, "k1"))
     read(reader, 4, order, evacuation)
-    steps = reader.steps.list_since(other.operators_end)
+    steps = reader.deltas.list_since(other.operators_end)
     assert [(step.since, step.end) for step in steps] == [(1, 2), (2, 4)]
-    other.take_steps(steps)
+    other.apply_deltas(steps)
     assert other.table is not None
     assert other.table.authenticate("k1")
     assert not other.table.authenticate("k2")
     assert other.orders == {"s": order}
     assert other.evacuations.domains == {"a"}
     assert other.operators_end == other.freshness.folded == 4
-    assert other.steps.list_since(1) == steps
+    assert other.deltas.list_since(1) == steps
 
 
 def test_take_no_step_that_does_not_fit() -> None:
@@ -177,20 +180,20 @@
         read(knowledge, 1, configure(1, "k1", "k2"))
     read(reader, 2, configure(2, "k1"))
     read(reader, 3, Evacuation(number=2, failure_domain="a", is_on=True))
-    other.take_steps(reader.steps.list_since(2))
+    other.apply_deltas(reader.deltas.list_since(2))
     assert other.operators_end == other.freshness.folded == 1
-    other.take_steps(reader.steps.list_since(1))
+    other.apply_deltas(reader.deltas.list_since(1))
     assert other.operators_end == 3
-    other.take_steps(reader.steps.list_since(1))
+    other.apply_deltas(reader.deltas.list_since(1))
     assert other.operators_end == 3
 
 
 def test_take_nothing_before_the_first_configuration() -> None:
     reader, other = make_knowledge(), make_knowledge()
     read(reader, 1, configure(1, "k1"))
-    assert reader.steps.list_since(0) == []
+    assert reader.deltas.list_since(0) == []
     read(reader, 2, configure(2, "k1", "k2"))
-    other.take_steps(reader.steps.list_since(1))
+    other.apply_deltas(reader.deltas.list_since(1))
     assert other.table is None
     assert other.operators_end == 0
 
@@ -199,11 +202,11 @@
     """Hundreds of routes are added at once; each instance reads them itself."""
     reader = make_knowledge()
     read(reader, 1, configure(1, "k1"))
-    read(reader, 2, configure(2, "k1", routes=MOST_BYTES // 50))
-    assert reader.steps.list_since(1) == []
-    read(reader, 3, configure(3, "k2", routes=MOST_BYTES // 50))
-    assert reader.steps.list_since(1) == []
-    assert [step.end for step in reader.steps.list_since(2)] == [3]
+    read(reader, 2, configure(2, "k1", routes=MAX_DELTA_BYTES // 50))
+    assert reader.deltas.list_since(1) == []
+    read(reader, 3, configure(3, "k2", routes=MAX_DELTA_BYTES // 50))
+    assert reader.deltas.list_since(1) == []
+    assert [step.end for step in reader.deltas.list_since(2)] == [3]
 
 
 def test_tell_no_row_of_steps_that_no_datagram_holds() -> None:
@@ -212,18 +215,18 @@
     A word that is too long isn't sent at all: nobody would hear how old it is either.
     """
     reader = make_knowledge()
-    routes = MOST_BYTES // 600
+    routes = MAX_DELTA_BYTES // 600
     read(reader, 1, configure(1, "k1"))
     for number in range(2, 8):
         added = configure(number, "k1", routes=routes * (number % 2))
         read(reader, number, added)
-    assert len(reader.steps.list_since(5)) == 2
-    assert reader.steps.list_since(1) == []
+    assert len(reader.deltas.list_since(5)) == 2
+    assert reader.deltas.list_since(1) == []
 
 
 def test_keep_only_the_last_steps() -> None:
     reader = make_knowledge()
-    for number in range(1, MOST_STEPS + 5):
+    for number in range(1, MAX_DELTAS + 5):
         read(reader, number, configure(number, f"k{number}"))
-    assert reader.steps.list_since(1) == []
-    assert len(reader.steps.list_since(4)) == MOST_STEPS
+    assert reader.deltas.list_since(1) == []
+    assert len(reader.deltas.list_since(4)) == MAX_DELTAS
--- a/tests/routing/test_directory.py
+++ b/tests/routing/test_directory.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from baobabthread.core.membership.messages import MemberInfo
-from baobabthread.routing.directory import Directory, list_addresses
+from baobabthread.routing.directory import AddressList, list_addresses
 
 
 def make_member(name: str, domain: str) -> MemberInfo:
@@ -19,11 +19,11 @@
 
 def ask(
     members: list[MemberInfo], *, is_ready: bool = True, stale: tuple[str, ...] = ()
-) -> Directory:
+) -> AddressList:
     return list_addresses(
         me=members[0],
         serving=members,
-        i_am_ready=is_ready,
+        is_ready=is_ready,
         is_stale=lambda member: member.name in stale,
         failure_domain="a",
         max_lifetime_s=5.0,
@@ -71,7 +71,7 @@
             found = list_addresses(
                 me=asked,
                 serving=members,
-                i_am_ready=True,
+                is_ready=True,
                 is_stale=lambda member: False,
                 failure_domain=domain,
                 max_lifetime_s=5.0,
--- a/tests/routing/test_evacuations.py
+++ b/tests/routing/test_evacuations.py
@@ -27,7 +27,7 @@
     rng.shuffle(told)  # type: ignore[attr-defined]
     known = Evacuations()
     for each in told:
-        known.take(each)
+        known.apply(each)
     newest = {each.failure_domain: each for each in log}
     assert known.domains == {d for d, each in newest.items() if each.is_on}
 
@@ -38,31 +38,31 @@
 ) -> None:
     """An instance read so far, and finds the newest record of each key since."""
     known = Evacuations()
-    known.take_all(log[:known_to])
+    known.apply_all(log[:known_to])
     newest = {each.failure_domain: each for each in log}
     listed = [each for each in newest.values() if each.is_on]
-    known.take_all(listed)
-    known.complete({each.failure_domain for each in listed}, len(log))
+    known.apply_all(listed)
+    known.reconcile({each.failure_domain for each in listed}, len(log))
     assert known.domains == {each.failure_domain for each in listed}
     again = word(len(log), "b")
-    assert known.take(again) == ("b" not in {e.failure_domain for e in listed})
+    assert known.apply(again) == ("b" not in {e.failure_domain for e in listed})
     assert "b" in known.domains
 
 
 def test_pass_on_also_what_was_taken_back() -> None:
     """A peer that is behind must not evacuate the domain again by its own word."""
     known, behind = Evacuations(), Evacuations()
-    known.take_all([word(3), word(5, is_on=False)])
-    behind.take(word(3))
-    assert behind.take_all(known.list())
-    assert not known.take_all([word(3)])
+    known.apply_all([word(3), word(5, is_on=False)])
+    behind.apply(word(3))
+    assert behind.apply_all(known.list())
+    assert not known.apply_all([word(3)])
     assert not behind.domains
     assert not known.domains
 
 
 def test_tell_whether_anything_changed() -> None:
     known = Evacuations()
-    assert known.take(word(1))
-    assert not known.take(word(2))
-    assert not known.take(word(1, is_on=False))
-    assert known.take(word(3, is_on=False))
+    assert known.apply(word(1))
+    assert not known.apply(word(2))
+    assert not known.apply(word(1, is_on=False))
+    assert known.apply(word(3, is_on=False))
--- a/tests/routing/test_quarantine.py
+++ b/tests/routing/test_quarantine.py
@@ -10,12 +10,12 @@
 
 from baobabthread.routing.fingerprints import fingerprint
 from baobabthread.routing.quarantine import (
-    HOLD_S,
-    MOST_HELD,
-    MOST_HOLD_S,
-    RELAPSE_S,
-    Held,
+    MAX_ENTRIES,
+    MAX_QUARANTINE_S,
+    QUARANTINE_S,
+    RELAPSE_WINDOW_S,
     Quarantine,
+    QuarantineEntry,
 )
 
 NO_VERSIONS: tuple[str, ...] = ()
@@ -27,61 +27,61 @@
 
 def test_hold_for_a_time_and_longer_each_time() -> None:
     quarantine = Quarantine()
-    first = quarantine.hold("f1", "s", NO_VERSIONS, 0.0)
-    assert (first.times, first.left_s) == (1, HOLD_S)
-    assert find(quarantine, "f1", HOLD_S - 1)
-    assert not find(quarantine, "f1", HOLD_S)
+    first = quarantine.add("f1", "s", NO_VERSIONS, 0.0)
+    assert (first.times, first.left_s) == (1, QUARANTINE_S)
+    assert find(quarantine, "f1", QUARANTINE_S - 1)
+    assert not find(quarantine, "f1", QUARANTINE_S)
     assert not find(quarantine, "f2")
-    assert quarantine.relapsed(HOLD_S) == {"f1"}
-    again = quarantine.hold("f1", "s", NO_VERSIONS, HOLD_S)
-    assert (again.times, again.left_s) == (2, 2 * HOLD_S)
+    assert quarantine.previously_quarantined(QUARANTINE_S) == {"f1"}
+    again = quarantine.add("f1", "s", NO_VERSIONS, QUARANTINE_S)
+    assert (again.times, again.left_s) == (2, 2 * QUARANTINE_S)
     for _ in range(40):
-        again = quarantine.hold("f1", "s", NO_VERSIONS, HOLD_S)
-    assert again.left_s == MOST_HOLD_S
+        again = quarantine.add("f1", "s", NO_VERSIONS, QUARANTINE_S)
+    assert again.left_s == MAX_QUARANTINE_S
 
 
 def test_let_go_what_was_answered() -> None:
     quarantine = Quarantine()
-    quarantine.hold("f1", "s", NO_VERSIONS, 0.0)
+    quarantine.add("f1", "s", NO_VERSIONS, 0.0)
     before = quarantine.digest
-    cleared = quarantine.clear("f1", 1.0)
+    cleared = quarantine.release("f1", 1.0)
     assert cleared is not None
     assert not find(quarantine, "f1", 1.0)
     assert quarantine.digest != before
-    assert quarantine.clear("f1", 1.0) is None
-    assert quarantine.hold("f1", "s", NO_VERSIONS, 2.0).times == 2
+    assert quarantine.release("f1", 1.0) is None
+    assert quarantine.add("f1", "s", NO_VERSIONS, 2.0).times == 2
 
 
 def test_hold_only_where_there_is_no_other_version() -> None:
     quarantine = Quarantine()
-    quarantine.hold("f1", "s", ("v2",), 0.0)
+    quarantine.add("f1", "s", ("v2",), 0.0)
     assert find(quarantine, "f1", 0.0, "v2")
     assert not find(quarantine, "f1", 0.0, "v1", "v2")
 
 
 def test_forget_what_is_long_over() -> None:
     quarantine = Quarantine()
-    quarantine.hold("f1", "s", NO_VERSIONS, 0.0)
-    end = HOLD_S + RELAPSE_S + 1.0
+    quarantine.add("f1", "s", NO_VERSIONS, 0.0)
+    end = QUARANTINE_S + RELAPSE_WINDOW_S + 1.0
     (late,) = quarantine.list(end - 5.0)
     assert [held.fingerprint for held in quarantine.expire(end)] == ["f1"]
     assert (len(quarantine), quarantine.digest) == (0, 0)
     # A peer whose entry ends a moment later doesn't bring it back.
-    assert not quarantine.take(late, end)
+    assert not quarantine.apply(late, end)
 
 
 def test_bound_the_list() -> None:
     quarantine = Quarantine()
-    for number in range(MOST_HELD + 10):
-        quarantine.hold(f"f{number}", "s", NO_VERSIONS, float(number))
-    assert len(quarantine) == MOST_HELD
-    assert not find(quarantine, "f0", MOST_HELD + 10.0)
+    for number in range(MAX_ENTRIES + 10):
+        quarantine.add(f"f{number}", "s", NO_VERSIONS, float(number))
+    assert len(quarantine) == MAX_ENTRIES
+    assert not find(quarantine, "f0", MAX_ENTRIES + 10.0)
 
 
 def test_fit_the_longest_list_into_one_datagram() -> None:
     quarantine = Quarantine()
-    for number in range(MOST_HELD):
-        quarantine.hold(f"{number:016d}", "service-of-some-length", ("v1", "v2"), 0.0)
+    for number in range(MAX_ENTRIES):
+        quarantine.add(f"{number:016d}", "service-of-some-length", ("v1", "v2"), 0.0)
     assert len(msgspec.json.encode(quarantine.list(0.0))) < 30_000
 
 
@@ -94,14 +94,16 @@
     told: list[tuple[str, int, bool]],
 ) -> None:
     entries = [
-        Held(fingerprint=f, service="s", times=times, left_s=9.0, is_cleared=cleared)
+        QuarantineEntry(
+            fingerprint=f, service="s", times=times, left_s=9.0, is_cleared=cleared
+        )
         for f, times, cleared in told
     ]
     digests = set()
     for order in itertools.permutations(entries):
         quarantine = Quarantine()
         for held in order:
-            quarantine.take(held, 0.0)
+            quarantine.apply(held, 0.0)
         digests.add(quarantine.digest)
     assert len(digests) == 1
 
--- a/tests/routing/test_homes.py
+++ b/tests/routing/test_regions.py
@@ -5,14 +5,18 @@
 from baobabthread.core.membership.messages import MemberInfo
 from baobabthread.routing.configuration import (
     Account,
-    Repeatability,
+    RequestKind,
     Route,
     RoutingConfiguration,
 )
 from baobabthread.routing.directory import list_addresses
-from baobabthread.routing.homes import Areas, find_common_homes, find_homes
+from baobabthread.routing.regions import (
+    Regions,
+    find_allowed_regions,
+    find_common_regions,
+)
 
-AREAS = Areas(areas={"a": "north", "b": "north", "c": "south", "d": "east"})
+AREAS = Regions(by_domain={"a": "north", "b": "north", "c": "south", "d": "east"})
 
 
 def make_route(*homes: str) -> Route:
@@ -20,28 +24,32 @@
         name="r",
         host="h",
         path_prefix="/",
-        repeatability=Repeatability.IDEMPOTENT,
+        kind=RequestKind.IDEMPOTENT,
         targets=(),
         timeout_s=1.0,
         objective_s=1.0,
         priority=1,
         max_attempts=1,
-        homes=homes,
+        allowed_regions=homes,
     )
 
 
 def make_account(*homes: str) -> Account:
-    return Account(name="metro", keys=(), homes=homes)
+    return Account(name="metro", keys=(), allowed_regions=homes)
 
 
 def test_bind_by_route_and_account() -> None:
-    assert find_homes(make_route(), None) is None
-    assert find_homes(make_route(), make_account()) is None
-    assert find_homes(make_route("north"), make_account()) == {"north"}
-    assert find_homes(make_route(), make_account("south")) == {"south"}
-    both = find_homes(make_route("north", "east"), make_account("east", "south"))
+    assert find_allowed_regions(make_route(), None) is None
+    assert find_allowed_regions(make_route(), make_account()) is None
+    assert find_allowed_regions(make_route("north"), make_account()) == {"north"}
+    assert find_allowed_regions(make_route(), make_account("south")) == {"south"}
+    both = find_allowed_regions(
+        make_route("north", "east"), make_account("east", "south")
+    )
     assert both == {"east"}
-    assert find_homes(make_route("north"), make_account("south")) == frozenset()
+    assert (
+        find_allowed_regions(make_route("north"), make_account("south")) == frozenset()
+    )
 
 
 def test_serve_in_no_domain_of_which_nothing_is_known() -> None:
@@ -56,8 +64,8 @@
     found = RoutingConfiguration(
         version=1, routes=(make_route("north", "nrth"),), services=()
     )
-    assert AREAS.list_unknown_homes(found) == ["nrth"]
-    assert Areas(areas={}).list_unknown_homes(found) == []
+    assert AREAS.list_unknown_regions(found) == ["nrth"]
+    assert Regions(by_domain={}).list_unknown_regions(found) == []
     assert AREAS.list_unknown_domains(frozenset({"a", "z"})) == ["z"]
 
 
@@ -65,7 +73,7 @@
     def common(*homes: tuple[str, ...]) -> frozenset[str]:
         routes = tuple(make_route(*each) for each in homes)
         configuration = RoutingConfiguration(version=1, routes=routes, services=())
-        return find_common_homes(configuration)
+        return find_common_regions(configuration)
 
     assert common((), ()) == frozenset()
     assert common((), ("north", "east"), ("north",)) == {"north"}
@@ -88,13 +96,13 @@
     found = list_addresses(
         me=next(member for member in members if member.failure_domain == me),
         serving=members,
-        i_am_ready=is_ready,
+        is_ready=is_ready,
         is_stale=lambda member: False,
         failure_domain="x",
         max_lifetime_s=5.0,
-        area=area,
-        homes=frozenset({"south"}),
-        areas=AREAS,
+        region=area,
+        allowed_regions=frozenset({"south"}),
+        regions=AREAS,
     )
     return "".join(sorted(found.addresses))
 
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -6,7 +6,7 @@
 
 from baobabthread.routing.configuration import (
     Account,
-    Repeatability,
+    RequestKind,
     Route,
     RoutingConfiguration,
     Target,
@@ -19,7 +19,7 @@
         name=name or prefix,
         host=host,
         path_prefix=prefix,
-        repeatability=Repeatability.IDEMPOTENT,
+        kind=RequestKind.IDEMPOTENT,
         targets=(Target(service="s"),),
         timeout_s=1.0,
         objective_s=0.5,
