--- a/soak/weakened.py
+++ b/soak/weakened.py
@@ -20,7 +20,7 @@
 from baobabthread.logs import log_event
 from baobabthread.platform import __main__ as program
 from baobabthread.platform import headers
-from baobabthread.routing import coldness, configuration, knowledge
+from baobabthread.routing import configuration, replica, warmup
 
 DECIDED_EVENT = "safeguard_decided"
 WATCH = "watch"
@@ -76,21 +76,21 @@
     """Take every route for one that may be repeated."""
     ask = configuration.Route.may_retry.fget  # type: ignore
 
-    def may_repeat(self: configuration.Route) -> bool:
+    def may_retry(self: configuration.Route) -> bool:
         return not safeguard.stands(not ask(self))
 
-    configuration.Route.may_retry = property(may_repeat)  # type: ignore
+    configuration.Route.may_retry = property(may_retry)  # type: ignore
 
 
 @WEAKENED.register("serve on stale knowledge")
 def serve_stale(safeguard: Safeguard) -> None:
     """Honour keys however old the knowledge of them is."""
-    ask = knowledge.StateReplica.is_fresh
+    ask = replica.StateReplica.is_fresh
 
-    def is_fresh(self: knowledge.StateReplica, now: float) -> bool:
+    def is_fresh(self: replica.StateReplica, now: float) -> bool:
         return not safeguard.stands(not ask(self, now))
 
-    knowledge.StateReplica.is_fresh = is_fresh  # type: ignore
+    replica.StateReplica.is_fresh = is_fresh  # type: ignore
 
 
 @WEAKENED.register("pass parts of events")
@@ -166,13 +166,13 @@
 @WEAKENED.register("forget the cold")
 def forget_the_cold(safeguard: Safeguard) -> None:
     """Take every backend server for warm."""
-    ask = coldness.ColdServers.left_s
+    ask = warmup.ColdServers.left_s
 
-    def left_s(self: coldness.ColdServers, name: str, now: float) -> float:
+    def left_s(self: warmup.ColdServers, name: str, now: float) -> float:
         left = ask(self, name, now)
         return left if safeguard.stands(left > 0.0) else 0.0
 
-    coldness.ColdServers.left_s = left_s  # type: ignore
+    warmup.ColdServers.left_s = left_s  # type: ignore
 
 
 @WEAKENED.register("forget homes")
@@ -180,11 +180,11 @@
     """Let every request be served anywhere."""
     ask = context.find_allowed_regions
 
-    def find_homes(route: Any, account: Any) -> Any:
+    def find_allowed_regions(route: Any, account: Any) -> Any:
         homes = ask(route, account)
         return homes if safeguard.stands(homes is not None) else None
 
-    context.find_allowed_regions = find_homes
+    context.find_allowed_regions = find_allowed_regions
 
 
 def main() -> int:
--- a/src/baobabthread/routing/budget.py
+++ b/src/baobabthread/routing/budget.py
@@ -67,7 +67,7 @@
 class _SlidingWindow:
     """Count what happened within a time that moves along."""
 
-    __slots__ = ("_counts", "_length_s", "total")
+    __slots__ = ("_buckets", "_length_s", "total")
 
     def __init__(self, *, length_s: float) -> None:
         self._length_s = length_s
@@ -120,7 +120,7 @@
     Each instance counts only what it sees itself, so that the sum holds without talk.
     """
 
-    __slots__ = ("_extra", "_members", "_ratio", "_retries", "_requests")
+    __slots__ = ("_extra", "_members", "_ratio", "_requests", "_retries")
 
     def __init__(self, *, bounds: RoutingBounds, members: MemberCount) -> None:
         self._ratio = bounds.retry_ratio * USABLE_FRACTION
--- a/src/baobabthread/routing/configuration.py
+++ b/src/baobabthread/routing/configuration.py
@@ -33,7 +33,7 @@
     host: str
     path_prefix: str
     """Begins and ends with a slash."""
-    kind: RequestKind
+    kind: RequestKind = msgspec.field(name="repeatability")
     targets: tuple[Target, ...]
     timeout_s: float
     """Longest time until the final answer."""
@@ -49,9 +49,9 @@
     has_prompts: bool = False
     """Whether requests name the parts of their prompt, so that caches matter."""
     resumable: bool = False
-    max_event_gap_s: float = 0.0
+    max_event_gap_s: float = msgspec.field(default=0.0, name="pause_s")
     """Longest pause between events for an answer that is still in time."""
-    allowed_regions: tuple[str, ...] = ()
+    allowed_regions: tuple[str, ...] = msgspec.field(default=(), name="homes")
     """Areas that its requests must not leave; empty where any will do."""
 
     @property
@@ -85,9 +85,9 @@
     memory_tokens: int = 0
     """Tokens that one engine holds, running and kept ones; 0 where nothing tells."""
     models: tuple[ModelCost, ...] = ()
-    warmup_s: float = 0.0
+    warmup_s: float = msgspec.field(default=0.0, name="cold_s")
     """Time for which one of its backend servers is cold after a start."""
-    warmup_rate: float = 0.0
+    warmup_rate: float = msgspec.field(default=0.0, name="cold_rate")
     """Requests a second that a cold one bears; 0 where it makes no difference."""
 
 
@@ -106,7 +106,7 @@
     keys: tuple[str, ...]
     priority: int | None = None
     """Rank of its requests, before that of the route."""
-    allowed_regions: tuple[str, ...] = ()
+    allowed_regions: tuple[str, ...] = msgspec.field(default=(), name="homes")
     """Areas that its requests must not leave; empty where any will do."""
 
 
@@ -132,7 +132,7 @@
     leaving: bool = False
     started_ms: int = 0
     """Unix millisecond of its start; 0 where it tells none and its id is enough."""
-    warmup_left_s: float = 0.0
+    warmup_left_s: float = msgspec.field(default=0.0, name="cold_left_s")
     """How much longer it is cold, from the moment at which this was told."""
 
     @property
--- a/src/baobabthread/routing/crashes.py
+++ b/src/baobabthread/routing/crashes.py
@@ -101,7 +101,7 @@
 class CrashAnalysis:
     """Keep crashes and find the requests that explain them."""
 
-    __slots__ = ("_crashes", "_find_delay", "_unjudged")
+    __slots__ = ("_crashes", "_find_delay", "_pending")
 
     def __init__(self, *, find_delay: FindDelay = lambda service: 0.0) -> None:
         self._find_delay = find_delay
--- a/src/baobabthread/routing/deltas.py
+++ b/src/baobabthread/routing/deltas.py
@@ -39,15 +39,19 @@
     before: int
     """Version to which this is to be applied."""
     after: int
-    digest: int
+    digest: int = msgspec.field(name="check")
     """Digest of the result: one that differs is read from the store instead."""
     routes: list[Route] = []
     """Those that are new or changed."""
-    routes_removed: list[str] = []
+    routes_removed: list[str] = msgspec.field(default_factory=list, name="routes_gone")
     accounts: list[Account] = []
-    accounts_removed: list[str] = []
+    accounts_removed: list[str] = msgspec.field(
+        default_factory=list, name="accounts_gone"
+    )
     services: list[ServiceConfiguration] = []
-    services_removed: list[str] = []
+    services_removed: list[str] = msgspec.field(
+        default_factory=list, name="services_gone"
+    )
     limits: RequestLimits | None = None
     """Left out where they are the same."""
 
@@ -73,7 +77,7 @@
 class DeltaLog:
     """Keep the last steps, so that whoever is a little behind can be told them."""
 
-    __slots__ = ("_steps",)
+    __slots__ = ("_deltas",)
 
     def __init__(self) -> None:
         self._deltas: deque[tuple[OperatorDelta, int]] = deque(maxlen=MAX_DELTAS)
--- a/src/baobabthread/routing/evacuations.py
+++ b/src/baobabthread/routing/evacuations.py
@@ -10,7 +10,7 @@
 class Evacuations:
     """Hold the operators' newest word on each failure domain."""
 
-    __slots__ = ("_words", "domains")
+    __slots__ = ("_latest", "domains")
 
     def __init__(self) -> None:
         self._latest: dict[str, Evacuation] = {}
--- a/src/baobabthread/routing/readers.py
+++ b/src/baobabthread/routing/readers.py
@@ -70,7 +70,7 @@
 class ReaderAssignment:
     """Order the members by who reads the store; the same at all that know the same."""
 
-    __slots__ = ("_me", "_preference", "readers", "standbys", "position")
+    __slots__ = ("_me", "_preference", "position", "readers", "standbys")
 
     def __init__(self, *, me: str, names: Sequence[str]) -> None:
         order = rank("readers", names)
--- a/src/baobabthread/routing/replica.py
+++ b/src/baobabthread/routing/replica.py
@@ -50,22 +50,22 @@
     __slots__ = (
         "_backends_read_at",
         "_bounds",
+        "_change_log",
+        "_grace_until",
+        "_lapsed_until",
         "_last_settled_end",
-        "_held",
         "_last_state",
-        "_change_log",
         "_starts",
-        "_grace_until",
         "backends",
         "backends_end",
-        "revision",
         "cold_servers",
+        "deltas",
         "evacuations",
         "freshness",
-        "on_read",
+        "on_update",
         "operators_end",
         "orders",
-        "deltas",
+        "revision",
         "table",
     )
 
@@ -225,7 +225,7 @@
         """Take over a backend server's record; return whether it changes anything."""
         if record.warmup_left_s:
             # Kept apart: it changes with each heartbeat, which is no news to others.
-            record = msgspec.structs.replace(record, cold_left_s=0.0)
+            record = msgspec.structs.replace(record, warmup_left_s=0.0)
         self._lapsed_until.pop(record.id, None)
         known = self.backends.get(record.id)
         if known == record or not self._starts.record_start(record):
@@ -329,7 +329,7 @@
         left_s = self.cold_servers.left_s(record.incarnation, now)
         if not left_s:
             return record
-        return msgspec.structs.replace(record, cold_left_s=round(left_s, 3))
+        return msgspec.structs.replace(record, warmup_left_s=round(left_s, 3))
 
     def _record_backend_change(self, id: str) -> None:
         self.revision += 1
--- a/src/baobabthread/routing/stopping.py
+++ b/src/baobabthread/routing/stopping.py
@@ -32,7 +32,7 @@
 class StallDetector:
     """Know since when a signal that is heard now may have been waiting."""
 
-    __slots__ = ("_ticked_at", "_stalled_from", "_stalled_until")
+    __slots__ = ("_stalled_from", "_stalled_until", "_ticked_at")
 
     def __init__(self, *, now: float) -> None:
         self._ticked_at = now
--- a/src/baobabthread/routing/table.py
+++ b/src/baobabthread/routing/table.py
@@ -16,7 +16,7 @@
 class RoutingTable:
     """Answer which route and which client account a request belongs to."""
 
-    __slots__ = ("_accounts", "_hosts", "configuration", "common_regions", "services")
+    __slots__ = ("_accounts", "_hosts", "common_regions", "configuration", "services")
 
     def __init__(self, *, configuration: RoutingConfiguration) -> None:
         self.configuration = configuration
--- a/src/baobabthread/routing/warmup.py
+++ b/src/baobabthread/routing/warmup.py
@@ -74,7 +74,7 @@
 class SenderCount:
     """Count the instances that may send, also those that are silent or unknown."""
 
-    __slots__ = ("_grown_at", "_is_discovered", "_seen")
+    __slots__ = ("_grown_at", "_is_discovered", "_last_seen")
 
     def __init__(self) -> None:
         self._last_seen: dict[str, float] = {}
