--- a/bench/_fleet.py
+++ b/bench/_fleet.py
@@ -15,11 +15,11 @@
 
 from baobabthread.adapters.codec import expand
 from baobabthread.instance.clock import now
-from baobabthread.instance.feeds import BackendsFeed, OperatorsFeed
-from baobabthread.instance.heldrecords import HeldRecords
 from baobabthread.instance.metrics import Metrics
 from baobabthread.instance.peers import PeerLink
+from baobabthread.instance.quarantinerecords import QuarantineRecords
 from baobabthread.instance.settings import InstanceSettings
+from baobabthread.instance.topicreaders import BackendTopicReader, OperatorTopicReader
 from baobabthread.routing.bounds import RoutingBounds
 from baobabthread.routing.replica import StateReplica
 from baobabthread.routing.versions import VersionPlan
@@ -46,7 +46,7 @@
 
     async def _fetch(self, peer: str) -> None:
         asked_at = now()
-        known_end = self._knowledge.operators_end
+        known_end = self._replica.operators_end
         await asyncio.sleep(2 * FAR_S)
         other = self.fleet.members.get(peer)
         if other is None or not other.is_up:
@@ -55,7 +55,7 @@
         size = len(msgspec.json.encode(snapshot))
         self.fleet.count(other, self._settings.failure_domain, "fetch", size)
         await asyncio.sleep(FAR_S)
-        self._knowledge.merge(snapshot, requested_at=asked_at, now=now())
+        self._replica.merge(snapshot, requested_at=asked_at, now=now())
 
 
 class Member:
@@ -93,7 +93,7 @@
             settings=settings,
             incarnation=f"{fleet.rng.getrandbits(48):012x}",
             started_at=round(now(), 3),
-            knowledge=self.knowledge,
+            replica=self.knowledge,
             rng=random.Random(fleet.rng.random()),
             find_plan=self._find_plan,
         )
@@ -114,16 +114,16 @@
             "knowledge": self.knowledge,
             "metrics": self._fleet.metrics,
             "rng": random.Random(self._number),
-            "ask_peer": self.link.ask_any,
-            "relay": self.link.relay,
+            "ask_peer": self.link.fetch_if_stale,
+            "relay": self.link.replica_sync,
         }
         works = (
-            OperatorsFeed(**common).run(),
-            BackendsFeed(**common).run(),
+            OperatorTopicReader(**common).run(),
+            BackendTopicReader(**common).run(),
             self.link.run(),
-            HeldRecords(
-                desk=self.link.quarantine,
-                relay=self.link.relay,
+            QuarantineRecords(
+                coordinator=self.link.quarantine,
+                replica_sync=self.link.replica_sync,
                 store=self._fleet.store,
                 formats=Formats(),
             ).run(),
@@ -232,7 +232,7 @@
     @property
     def readers(self) -> int:
         """Give how many members take themselves for readers."""
-        return sum(m.link.relay.is_reader for m in self.up())
+        return sum(m.link.replica_sync.is_reader for m in self.up())
 
     @property
     def least_known(self) -> int:
--- a/bench/_rollout_members.py
+++ b/bench/_rollout_members.py
@@ -11,15 +11,15 @@
 
 from baobabthread.core.membership.messages import GossipPayload
 from baobabthread.instance.backends import Backends
+from baobabthread.instance.canaries import CanaryCoordinator
 from baobabthread.instance.clock import now
-from baobabthread.instance.conducting import Conducting
 from baobabthread.instance.context import CallerRequest, Reply, RequestContext
 from baobabthread.instance.peers import PeerLink
+from baobabthread.instance.rollouts import RolloutController
 from baobabthread.instance.selection import Selection
 from baobabthread.instance.services import Services
-from baobabthread.instance.sessions import SESSION_MESSAGES, SessionDesk
+from baobabthread.instance.sessions import SESSION_MESSAGES, SessionCoordinator
 from baobabthread.instance.store import Append, Appended, Conflict, Page, StoreError
-from baobabthread.instance.trialdesk import TrialDesk
 from baobabthread.routing.configuration import (
     RequestKind,
     RolloutOrder,
@@ -95,20 +95,20 @@
         self._world = world
         self.incarnation = f"{member.name}-{member.starts}"
         self.membership = _Membership([member.name])
-        self.trials = TrialDesk(me=member.name, tell=member.tell)
-        self.desk = SessionDesk(
-            me=member.name, tell=member.tell, find_plan=lambda _: member.plan
+        self.canaries = CanaryCoordinator(me=member.name, send=member.tell)
+        self.sessions = SessionCoordinator(
+            me=member.name, send=member.tell, find_plan=lambda _: member.plan
         )
 
     def set_members(self, names: list[str]) -> None:
         self.membership.names = names
-        self.trials.set_members(names)
-        self.desk.set_members(names)
+        self.canaries.set_members(names)
+        self.sessions.set_members(names)
 
     def publish(self, topic: str, value: msgspec.Struct) -> None:
         self._world.publish(self.incarnation, topic, value)
 
-    def heard(self, topic: str) -> Iterator[GossipPayload]:
+    def received(self, topic: str) -> Iterator[GossipPayload]:
         return self._world.heard(self.incarnation, topic)
 
 
@@ -184,8 +184,8 @@
         self.services = Services(backends=backends, bounds=self.world.day.bounds)
         self.peers = _Peers(world=self.world, member=self)
         knowledge = cast(StateReplica, self.knowledge)
-        self.conducting = Conducting(
-            knowledge=knowledge,
+        self.rollouts = RolloutController(
+            replica=knowledge,
             backends=backends,
             services=self.services,
             peers=cast(PeerLink, self.peers),
@@ -202,7 +202,7 @@
         )
         self._tasks = [
             asyncio.ensure_future(self._read()),
-            asyncio.ensure_future(self.conducting.run()),
+            asyncio.ensure_future(self.rollouts.run()),
             asyncio.ensure_future(self._tick()),
         ]
 
@@ -224,9 +224,9 @@
     def take(self, sender: str, message: Any) -> None:
         """Take in a datagram."""
         if isinstance(message, SESSION_MESSAGES):
-            self.peers.desk.handle(sender, message)
+            self.peers.sessions.handle(sender, message)
         else:
-            self.peers.trials.handle(sender, message)
+            self.peers.canaries.handle(sender, message)
 
     async def _read(self) -> None:
         if self.world.elapsed_s > 0.0:
@@ -235,16 +235,16 @@
         await self.world.has_order.wait()
         order = self.world.order
         if self.starts == 1:
-            self.conducting.take_orders()
+            self.rollouts.apply_orders()
             await asyncio.sleep(LEARN_S * self.world.rng.random())
         await self.world.wait_store(self.number)
         self.knowledge.orders = {SERVICE: order}
-        self.conducting.take_orders()
+        self.rollouts.apply_orders()
 
     async def _tick(self) -> None:
         while True:
-            self.peers.desk.tick()
-            self.peers.trials.tick()
+            self.peers.sessions.tick()
+            self.peers.canaries.tick()
             await asyncio.sleep(TICK_S)
 
     async def serve(self, sent: Sent, *, attempts: int, lasts_s: float) -> None:
@@ -252,7 +252,7 @@
         plan = self.plan
         flight = make_flight(sent.session)
         if plan.needs_owner_decision(sent.session, now()):
-            flight.session_on_new_version = await self.peers.desk.decide(
+            flight.session_on_new_version = await self.peers.sessions.decide(
                 plan, sent.session
             )
         for _ in range(attempts):
@@ -281,9 +281,9 @@
 
     def _note_use(self, flight: RequestContext) -> None:
         note = (
-            self.peers.desk.note_new
+            self.peers.sessions.report_new
             if flight.on_new_version
-            else self.peers.desk.note_use
+            else self.peers.sessions.report_old
         )
         note(self.plan, flight.session)
 
--- a/soak/weakened.py
+++ b/soak/weakened.py
@@ -63,12 +63,14 @@
 @WEAKENED.register("refuse what ran")
 def refuse_what_ran(safeguard: Safeguard) -> None:
     """Promise that a request has not run though it may have."""
-    ask = endings.Endings._surely_not_run
+    ask = endings.ErrorResponses._has_not_run
 
-    def surely_not_run(self: endings.Endings, flight: context.RequestContext) -> bool:
+    def surely_not_run(
+        self: endings.ErrorResponses, flight: context.RequestContext
+    ) -> bool:
         return not safeguard.stands(not ask(self, flight))
 
-    endings.Endings._surely_not_run = surely_not_run  # type: ignore
+    endings.ErrorResponses._has_not_run = surely_not_run  # type: ignore
 
 
 @WEAKENED.register("repeat everything")
@@ -96,16 +98,16 @@
 @WEAKENED.register("pass parts of events")
 def pass_parts(safeguard: Safeguard) -> None:
     """Pass bytes of a stream on as they come, also what was passed before."""
-    cut = events.EventCutter.feed
+    cut = events.EventSplitter.feed
 
-    def feed(self: events.EventCutter, data: bytes) -> events.WholeEvents:
+    def feed(self: events.EventSplitter, data: bytes) -> events.CompleteEvents:
         whole = cut(self, data)
         if whole.data == data or safeguard.stands(whole.data != data):
             return whole
-        self._rest = b""
-        return events.WholeEvents(data=data, last_id=None)
+        self._buffer = b""
+        return events.CompleteEvents(data=data, last_id=None)
 
-    events.EventCutter.feed = feed  # type: ignore
+    events.EventSplitter.feed = feed  # type: ignore
 
 
 @WEAKENED.register("take any answer")
--- a/src/baobabthread/instance/admission.py
+++ b/src/baobabthread/instance/admission.py
@@ -15,7 +15,7 @@
     Reply,
     RequestContext,
 )
-from baobabthread.instance.endings import ELSEWHERE_S, SOON_S
+from baobabthread.instance.errorresponses import RETRY_AFTER_S, RETRY_ELSEWHERE_AFTER_S
 from baobabthread.instance.estimates import Estimates
 from baobabthread.instance.services import Services
 from baobabthread.routing.budget import RetryBudget
@@ -100,19 +100,21 @@
         """Return the request as it will be handled, or why it is turned away."""
         table = self._replica.table
         if table is None:
-            return Rejection(status=503, kind="not_configured", retry_after_s=SOON_S)
+            return Rejection(
+                status=503, kind="not_configured", retry_after_s=RETRY_AFTER_S
+            )
         fresh = self._replica.is_fresh(now())
         route = table.match(request.host, request.path)
         if route is None:
             # An instance that may be behind can't know that there is no such route.
             if not fresh:
-                return Rejection(status=503, kind="stale", retry_after_s=SOON_S)
+                return Rejection(status=503, kind="stale", retry_after_s=RETRY_AFTER_S)
             return Rejection(status=404, kind="unknown_route")
         account = self._authenticate(table, route, request, fresh)
         if isinstance(account, Rejection):
             return account
         if not route.targets:
-            return Rejection(status=503, kind="no_service", retry_after_s=SOON_S)
+            return Rejection(status=503, kind="no_service", retry_after_s=RETRY_AFTER_S)
         flight = RequestContext(
             request=request,
             reply=reply,
@@ -125,7 +127,9 @@
         budget.record_request(self._services.arrivals.estimate_arrival(now()))
         self._choose_first_model(flight, budget)
         if not self._can_finish(flight):
-            return Rejection(status=503, kind="leaving", retry_after_s=ELSEWHERE_S)
+            return Rejection(
+                status=503, kind="leaving", retry_after_s=RETRY_ELSEWHERE_AFTER_S
+            )
         return flight
 
     def _authenticate(
@@ -136,7 +140,7 @@
         if not fresh:
             # The key may have been taken away: whoever can't read the operators' log
             # must not run anything for it.
-            return Rejection(status=503, kind="stale", retry_after_s=SOON_S)
+            return Rejection(status=503, kind="stale", retry_after_s=RETRY_AFTER_S)
         account = table.authenticate(request.envelope.key)
         return account or Rejection(status=401, kind="unknown_key")
 
--- /dev/null
+++ b/src/baobabthread/instance/errorresponses.py
@@ -0,0 +1,95 @@
+"""Final answers of this side's own: refusals that are true, and failures."""
+
+from __future__ import annotations
+
+import random
+
+from baobabthread.instance.context import RequestContext
+from baobabthread.instance.requestlog import RequestLog
+from baobabthread.routing.quarantine import QuarantineEntry
+
+RETRY_AFTER_S = 0.5
+"""Time after which a caller may come back to an instance that has nothing to offer."""
+
+RETRY_ELSEWHERE_AFTER_S = 0.05
+"""Time after which a caller may go to another instance: at once."""
+STOPPED_KIND = "instance_stopped"
+QUARANTINED_KIND = "quarantined"
+MIN_QUARANTINE_S = 1.0
+QUARANTINE_REASON = (
+    "Backend servers ended while this request, with the same path, query and body, was "
+    "on them, and no other request explains it."
+)
+NOT_RUN = "It has not been run this time."
+MAY_HAVE_RUN = "It may have been run in part."
+QUARANTINE_ADVICE = (
+    "Do not send it again unchanged; change it, or send it again in {left_s} s. Other "
+    "requests are served."
+)
+
+
+class ErrorResponses:
+    """End requests that get no answer of a backend server."""
+
+    __slots__ = ("_log", "_rng")
+
+    def __init__(self, *, log: RequestLog, rng: random.Random) -> None:
+        self._log = log
+        self._rng = rng
+
+    async def time_out(self, context: RequestContext) -> None:
+        """End a request whose time is over."""
+        if self._has_not_run(context):
+            await self.reject(context, "no_time_left", None)
+        else:
+            await self._fail(context, 504, "timeout")
+
+    async def give_up(self, context: RequestContext, kind: str) -> None:
+        """End a request for which nothing is left to try."""
+        if self._has_not_run(context):
+            await self.reject(context, kind, RETRY_AFTER_S * (1 + self._rng.random()))
+        else:
+            await self._fail(context, 502, kind)
+
+    async def abort_on_stop(self, context: RequestContext) -> None:
+        """End a request that this instance's own end overtakes."""
+        self._log.record_cut_by_stop(context)
+        if context.reply.has_begun:
+            context.reply.abort()
+        elif self._has_not_run(context):
+            await context.reply.reject(503, STOPPED_KIND, RETRY_ELSEWHERE_AFTER_S)
+        else:
+            await context.reply.reject(502, STOPPED_KIND, None)
+
+    async def reject_quarantined(
+        self, context: RequestContext, held: QuarantineEntry
+    ) -> None:
+        """End a request under which backend servers crash, and say what to do."""
+        left_s = max(MIN_QUARANTINE_S, held.left_s)
+        self._log.record_quarantined(context)
+        if context.reply.has_begun:
+            context.reply.abort()
+            return
+        not_run = self._has_not_run(context)
+        status, what = (503, NOT_RUN) if not_run else (502, MAY_HAVE_RUN)
+        detail = f"{QUARANTINE_REASON} {what} {QUARANTINE_ADVICE.format(left_s=round(left_s))}"
+        await context.reply.reject(status, QUARANTINED_KIND, left_s, detail)
+
+    async def reject(
+        self, context: RequestContext, kind: str, retry_after_s: float | None
+    ) -> None:
+        """Refuse a request that has not run and never will."""
+        self._log.record_failure(context, kind, 503)
+        await context.reply.reject(503, kind, retry_after_s)
+
+    async def _fail(self, context: RequestContext, status: int, kind: str) -> None:
+        self._log.record_failure(context, kind, status)
+        if context.reply.has_begun:
+            context.reply.abort()
+        else:
+            await context.reply.reject(status, kind, None)
+
+    def _has_not_run(self, context: RequestContext) -> bool:
+        # 503 promises that the request has not run: callers then send a warning again
+        # that may not go out twice.
+        return context.runs == 0 and not context.reply.has_begun
--- a/src/baobabthread/instance/forwarder.py
+++ b/src/baobabthread/instance/forwarder.py
@@ -25,16 +25,16 @@
 )
 from baobabthread.instance.context import CallerRequest, Reply, RequestContext
 from baobabthread.instance.crashes import ActiveRequest, CrashDetector, Departure
-from baobabthread.instance.endings import Endings
+from baobabthread.instance.errorresponses import ErrorResponses
 from baobabthread.instance.estimates import Estimates
 from baobabthread.instance.placement import Placement
 from baobabthread.instance.quarantine import QuarantineCoordinator
 from baobabthread.instance.requestlog import RequestLog
 from baobabthread.instance.responses import ResponseForwarder
+from baobabthread.instance.scheduler import MIN_TIME_LEFT_S, RequestScheduler
 from baobabthread.instance.selection import Selection
 from baobabthread.instance.services import Services, ServiceState
-from baobabthread.instance.sessions import SessionDesk
-from baobabthread.instance.turns import LEAST_LEFT_S, Turns
+from baobabthread.instance.sessions import SessionCoordinator
 from baobabthread.instance.wire import WireFormat
 from baobabthread.routing.canary import SentAttempt
 from baobabthread.routing.mechanisms import NONE_DISABLED, DisabledMechanisms, Mechanism
@@ -62,7 +62,7 @@
         wire: WireFormat,
         rng: random.Random,
         log: RequestLog,
-        sessions: SessionDesk,
+        sessions: SessionCoordinator,
         placement: Placement,
         crashes: CrashDetector,
         quarantine: QuarantineCoordinator,
@@ -87,7 +87,7 @@
             placement=placement,
             disabled=disabled,
         )
-        self._error_responses = Endings(log=log, rng=rng)
+        self._error_responses = ErrorResponses(log=log, rng=rng)
         self._responses = ResponseForwarder(
             wire=wire,
             estimates=self._estimates,
@@ -103,10 +103,10 @@
             models=models,
             rng=rng,
         )
-        self.turns = Turns(
+        self.turns = RequestScheduler(
             services=services,
             estimates=self._estimates,
-            endings=self._error_responses,
+            error_responses=self._error_responses,
             log=log,
             rng=rng,
         )
@@ -166,7 +166,7 @@
             task = asyncio.current_task()
             assert task is not None
             task.uncancel()
-            await self._error_responses.cut(flight)
+            await self._error_responses.abort_on_stop(flight)
         except ConnectionError:
             self._log.record_caller_disconnect(flight)
             raise
@@ -196,7 +196,7 @@
         held = self._quarantine.find(flight.fingerprint)
         if held is None:
             return False
-        await self._error_responses.hold_back(flight, held)
+        await self._error_responses.reject_quarantined(flight, held)
         return True
 
     async def _run_attempts(self, flight: RequestContext, state: ServiceState) -> None:
@@ -207,7 +207,7 @@
                 state.plan, flight.session
             )
         while True:
-            if flight.deadline - now() < LEAST_LEFT_S:
+            if flight.deadline - now() < MIN_TIME_LEFT_S:
                 await self._error_responses.time_out(flight)
                 return
             if await self._reject_quarantined(flight):
@@ -314,9 +314,9 @@
         if flight.is_sessionless:
             return
         if flight.on_new_version:
-            self._sessions.note_new(state.plan, flight.session)
+            self._sessions.report_new(state.plan, flight.session)
         else:
-            self._sessions.note_use(state.plan, flight.session)
+            self._sessions.report_old(state.plan, flight.session)
 
     async def _retry_or_fail(
         self,
@@ -346,7 +346,7 @@
             return
         # What never left for a backend server is no repeat.
         is_paid = isinstance(error, NotSentError | SilenceTimeoutError)
-        if not is_paid and not state.spend():
+        if not is_paid and not state.spend_retry():
             await self._error_responses.give_up(flight, "retry_budget")
             return
         raise RetryRequested(classify_outcome(error))
@@ -365,7 +365,7 @@
             return False
         if flight.attempts >= MAX_BACKENDS_TRIED:
             return False
-        return self.selection.has_alternative(flight, link) and state.spend()
+        return self.selection.has_alternative(flight, link) and state.spend_retry()
 
 
 def _find_departure(error: Exception) -> Departure:
--- a/src/baobabthread/instance/peers.py
+++ b/src/baobabthread/instance/peers.py
@@ -19,6 +19,13 @@
     MembershipSettings,
 )
 from baobabthread.core.messages import Effects, Send
+from baobabthread.instance.canaries import (
+    CANARY_MESSAGES,
+    CanaryCoordinator,
+    CanaryPermit,
+    CanaryReport,
+    CanaryVerdict,
+)
 from baobabthread.instance.clock import now
 from baobabthread.instance.connections import (
     ConnectionPool,
@@ -40,51 +47,44 @@
     QuarantineDigest,
     QuarantineEntries,
 )
-from baobabthread.instance.relaying import (
-    RELAY_MESSAGES,
-    AskKnowledge,
-    KnowledgeIs,
-    Relay,
+from baobabthread.instance.replicasync import (
+    REPLICA_MESSAGES,
+    ReplicaQuery,
+    ReplicaReply,
+    ReplicaSync,
 )
 from baobabthread.instance.sessions import (
     SESSION_MESSAGES,
-    AskVersion,
     FindPlan,
-    SessionDesk,
-    SessionsInUse,
-    UsesNoted,
-    VersionIs,
+    SessionCoordinator,
+    SessionUseAck,
+    SessionUseReport,
+    VersionQuery,
+    VersionReply,
 )
 from baobabthread.instance.settings import InstanceSettings
-from baobabthread.instance.trialdesk import (
-    TRIAL_MESSAGES,
-    TrialDesk,
-    TrialPermit,
-    TrialVerdict,
-    TrialWord,
-)
 from baobabthread.logs import log_event
 from baobabthread.routing.crashes import Crash
 from baobabthread.routing.replica import StateReplica
 from baobabthread.routing.snapshots import Snapshot
 
-KNOWLEDGE_PATH = "/peer/knowledge"
-KNOWN_END = "known_end"
+SNAPSHOT_PATH = "/peer/knowledge"
+KNOWN_END_PARAMETER = "known_end"
 """Query field: how far the one who asks has read the operators' records."""
-TICK_S = 0.05
+TICK_INTERVAL_S = 0.05
 MAX_DATAGRAM_BYTES = 60_000
-CONNECT_S = 0.4
+CONNECT_TIMEOUT_S = 0.4
 """Longest time for a connection to a peer; another one is asked after it."""
-FETCH_S = 2.0
+FETCH_TIMEOUT_S = 2.0
 """Longest time for a peer's answer: a large configuration takes half a second and more
 over the slowest links."""
-FETCH_PAUSE_S = 0.3
+MIN_FETCH_INTERVAL_S = 0.3
 """Least time between two questions to peers."""
-STALE_PART = 0.8
+STALE_FRACTION = 0.8
 """Part of the oldest age from which a peer is asked: the store was silent longer than
 one read takes."""
 MAX_SNAPSHOT_BYTES = 32_000_000
-SETTINGS = MembershipSettings(
+MEMBERSHIP_SETTINGS = MembershipSettings(
     small_period_s=0.2,
     suspicion_factor=0.5,
     gossip_bytes=8_000,
@@ -104,31 +104,33 @@
         settings: InstanceSettings,
         incarnation: str,
         started_at: float,
-        knowledge: StateReplica,
+        replica: StateReplica,
         rng: random.Random,
         find_plan: FindPlan,
     ) -> None:
         self._settings = settings
-        self._knowledge = knowledge
+        self._replica = replica
         self._rng = rng
         self._codec = PeerCodec(
             types=(
                 *MEMBERSHIP_MESSAGES,
-                *RELAY_MESSAGES,
+                *REPLICA_MESSAGES,
                 *SESSION_MESSAGES,
                 *LOAD_MESSAGES,
-                *TRIAL_MESSAGES,
+                *CANARY_MESSAGES,
                 *QUARANTINE_MESSAGES,
             )
         )
-        self.quarantine = QuarantineCoordinator(me=settings.name, send=self._tell)
-        self.placement = Placement(me=settings.name, send=self._tell)
-        self.trials = TrialDesk(me=settings.name, tell=self._tell)
-        self.desk = SessionDesk(me=settings.name, tell=self._tell, find_plan=find_plan)
-        self.relay = Relay(
+        self.quarantine = QuarantineCoordinator(me=settings.name, send=self._send)
+        self.placement = Placement(me=settings.name, send=self._send)
+        self.canaries = CanaryCoordinator(me=settings.name, send=self._send)
+        self.sessions = SessionCoordinator(
+            me=settings.name, send=self._send, find_plan=find_plan
+        )
+        self.replica_sync = ReplicaSync(
             me=settings.name,
-            knowledge=knowledge,
-            tell=self._tell,
+            replica=replica,
+            send=self._send,
             fetch=self.fetch,
             bounds=settings.bounds,
             has_seeds=settings.has_other_seeds,
@@ -137,9 +139,9 @@
         self._pools: dict[str, ConnectionPool] = {}
         self._fetching: asyncio.Task[None] | None = None
         self._fetched_at = -1e9
-        self._members_seen = -1
+        self._membership_version = -1
         self._sequence = 0
-        self._last: dict[str, bytes] = {}
+        self._published: dict[str, bytes] = {}
         self.incarnation = incarnation
         self.membership = Membership(
             me=MemberInfo(
@@ -152,8 +154,8 @@
             ),
             seeds=tuple(self._list_seeds()),
             rng=rng,
-            freshness=knowledge.freshness,
-            settings=SETTINGS,
+            freshness=replica.freshness,
+            settings=MEMBERSHIP_SETTINGS,
         )
 
     # -- datagrams --
@@ -170,16 +172,16 @@
             log_event("datagram_unreadable", peer=addr[0], error=str(error))
             return
         for message in messages:
-            self._take(sender, message)
+            self._dispatch(sender, message)
 
-    def _take(self, sender: str, message: Any) -> None:
+    def _dispatch(self, sender: str, message: Any) -> None:
         match message:
-            case AskKnowledge():
-                self.relay.answer(sender, message)
-            case KnowledgeIs():
-                self.relay.take(sender, message)
-            case AskVersion() | VersionIs() | SessionsInUse() | UsesNoted():
-                self.desk.handle(sender, message)
+            case ReplicaQuery():
+                self.replica_sync.handle_query(sender, message)
+            case ReplicaReply():
+                self.replica_sync.handle_reply(sender, message)
+            case VersionQuery() | VersionReply() | SessionUseReport() | SessionUseAck():
+                self.sessions.handle(sender, message)
             case LoadsRequest():
                 self.placement.handle_request(sender, message)
             case LoadsReply():
@@ -188,8 +190,8 @@
                 self.placement.handle_placed(sender, message)
             case PromptEnded():
                 self.placement.handle_ended(sender, message)
-            case TrialWord() | TrialPermit() | TrialVerdict():
-                self.trials.handle(sender, message)
+            case CanaryReport() | CanaryPermit() | CanaryVerdict():
+                self.canaries.handle(sender, message)
             case Crash():
                 self.quarantine.handle_crash(message)
             case QuarantineDigest():
@@ -197,7 +199,7 @@
             case QuarantineEntries():
                 self.quarantine.handle_entries(sender, message)
             case _:
-                self._run(self.membership.handle(sender, message, now()))
+                self._apply_effects(self.membership.handle(sender, message, now()))
 
     def error_received(self, exc: Exception) -> None:
         """Pass over an unreachable port: the probes find out who is gone."""
@@ -206,26 +208,26 @@
         """Probe and judge until cancelled."""
         while True:
             self._step()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def _step(self) -> None:
-        knowledge = self._knowledge
+        knowledge = self._replica
         table = knowledge.table
         self.membership.report(
             generation=table.configuration.version if table is not None else 0,
             read_offset=knowledge.operators_end,
         )
-        self._run(self.membership.tick(now()))
-        self._note_members()
-        self.relay.tick()
-        self.desk.tick()
+        self._apply_effects(self.membership.tick(now()))
+        self._update_members()
+        self.replica_sync.tick()
+        self.sessions.tick()
         self.placement.tick()
-        self.trials.tick()
+        self.canaries.tick()
         self.quarantine.tick()
 
     def leave(self) -> None:
         """Tell the others that this instance takes no new callers."""
-        self._run(self.membership.leave(now()))
+        self._apply_effects(self.membership.leave(now()))
 
     def close(self) -> None:
         """Close the socket and what is idle."""
@@ -234,18 +236,20 @@
         for pool in self._pools.values():
             pool.close()
 
-    def _run(self, effects: Effects) -> None:
+    def _apply_effects(self, effects: Effects) -> None:
         for effect in effects:
             if isinstance(effect, Send):
-                self._send(effect)
+                self._send_datagram(effect)
             elif isinstance(effect, FetchRecords):
                 member = self.membership.table.get(effect.peer)
-                self.relay.note_news(member.read_offset if member is not None else 0)
+                self.replica_sync.record_operators_end(
+                    member.read_offset if member is not None else 0
+                )
 
-    def _tell(self, to: str, message: msgspec.Struct) -> None:
-        self._send(Send(to=to, message=message))
+    def _send(self, to: str, message: msgspec.Struct) -> None:
+        self._send_datagram(Send(to=to, message=message))
 
-    def _send(self, effect: Send) -> None:
+    def _send_datagram(self, effect: Send) -> None:
         if self._transport is None or self._transport.is_closing():
             return
         data = self._codec.encode(self.membership.me.name, [effect.message])
@@ -266,15 +270,15 @@
         for seed in self._settings.seeds:
             yield f"{seed.rpartition(':')[0]}:{self._settings.gossip_port}"
 
-    def _note_members(self) -> None:
-        if self._members_seen == self.membership.version:
+    def _update_members(self) -> None:
+        if self._membership_version == self.membership.version:
             return
-        self._members_seen = self.membership.version
+        self._membership_version = self.membership.version
         names = [member.name for member in self.membership.alive()]
-        self.relay.set_members(names)
-        self.desk.set_members(names)
+        self.replica_sync.set_members(names)
+        self.sessions.set_members(names)
         self.placement.set_members(names)
-        self.trials.set_members(names)
+        self.canaries.set_members(names)
         self.quarantine.set_members(names)
         log_event(
             "members_changed",
@@ -284,21 +288,23 @@
 
     # -- what peers know --
 
-    async def ask_any(self) -> None:
+    async def fetch_if_stale(self) -> None:
         """Ask some peer for what it knows when the store was silent for a while."""
         moment = now()
         age = max(
-            self._knowledge.operators_age(moment), self._knowledge.backends_age(moment)
+            self._replica.operators_age(moment), self._replica.backends_age(moment)
         )
-        stale_s = STALE_PART * self.relay.limits.operators_s
-        if age < stale_s and not self.relay.is_behind:
+        stale_s = STALE_FRACTION * self.replica_sync.limits.operators_s
+        if age < stale_s and not self.replica_sync.is_behind:
             return
-        if moment - self._fetched_at < FETCH_PAUSE_S:
+        if moment - self._fetched_at < MIN_FETCH_INTERVAL_S:
             return
         me = self.membership.me.name
         peers = [m.name for m in self.membership.alive() if m.name != me]
         if not peers:
-            peers = [seed for seed in self._list_seeds() if not self._is_me(seed)]
+            peers = [
+                seed for seed in self._list_seeds() if not self._is_own_address(seed)
+            ]
         if peers:
             self.fetch(self._rng.choice(peers))
 
@@ -314,12 +320,14 @@
         address = f"{host}:{self._settings.control_port}"
         pool = self._pools.get(address)
         if pool is None:
-            pool = ConnectionPool(address=address, connect_s=CONNECT_S)
+            pool = ConnectionPool(address=address, connect_s=CONNECT_TIMEOUT_S)
             self._pools[address] = pool
         asked_at = now()
         try:
-            async with asyncio.timeout(FETCH_S):
-                body = await _get(pool, address, self._knowledge.operators_end)
+            async with asyncio.timeout(FETCH_TIMEOUT_S):
+                body = await _request_snapshot(
+                    pool, address, self._replica.operators_end
+                )
             snapshot = msgspec.json.decode(body, type=Snapshot)
         except (
             NotSentError,
@@ -329,17 +337,17 @@
         ) as error:
             log_event("peer_unreachable", peer=peer, error=str(error) or "timeout")
             return
-        before = self._knowledge.revision
-        self._knowledge.merge(snapshot, requested_at=asked_at, now=now())
+        before = self._replica.revision
+        self._replica.merge(snapshot, requested_at=asked_at, now=now())
         log_event(
             "peer_asked",
             peer=peer,
-            news=self._knowledge.revision != before,
+            news=self._replica.revision != before,
             operators_age_ms=round(min(snapshot.operators_age_s, 1e6) * 1000),
             backends_age_ms=round(min(snapshot.backends_age_s, 1e6) * 1000),
         )
 
-    def _is_me(self, address: str) -> bool:
+    def _is_own_address(self, address: str) -> bool:
         return address == self._settings.gossip_address
 
     # -- small values that spread --
@@ -347,9 +355,9 @@
     def publish(self, topic: str, value: msgspec.Struct) -> None:
         """Spread a value of this instance unless it did so last time."""
         body = msgspec.json.encode(value)
-        if self._last.get(topic) == body:
+        if self._published.get(topic) == body:
             return
-        self._last[topic] = body
+        self._published[topic] = body
         self._sequence += 1
         self.membership.publish(
             GossipPayload(
@@ -360,15 +368,17 @@
             )
         )
 
-    def heard(self, topic: str) -> Iterator[GossipPayload]:
+    def received(self, topic: str) -> Iterator[GossipPayload]:
         """Return the newest value of each other instance."""
         for payload in self.membership.gossip.topic(topic):
             if payload.origin != self.incarnation:
                 yield payload
 
 
-async def _get(pool: ConnectionPool, address: str, known_end: int) -> bytes:
-    target = f"{KNOWLEDGE_PATH}?{KNOWN_END}={known_end}"
+async def _request_snapshot(
+    pool: ConnectionPool, address: str, known_end: int
+) -> bytes:
+    target = f"{SNAPSHOT_PATH}?{KNOWN_END_PARAMETER}={known_end}"
     head = encode_head("GET", target, [("Host", address)])
     connection = await pool.send(head, b"")
     try:
--- a/src/baobabthread/instance/process.py
+++ b/src/baobabthread/instance/process.py
@@ -17,21 +17,21 @@
 from baobabthread.instance.backends import Backends
 from baobabthread.instance.callers import CallerServer, create_server, listen
 from baobabthread.instance.clock import now
-from baobabthread.instance.conducting import Conducting
 from baobabthread.instance.crashes import CrashDetector
-from baobabthread.instance.feeds import BackendsFeed, OperatorsFeed
 from baobabthread.instance.forwarder import Forwarder
-from baobabthread.instance.heldrecords import HeldRecords
 from baobabthread.instance.logoutput import configure_logging, run_log_flusher
 from baobabthread.instance.metrics import Metrics
-from baobabthread.instance.peers import KNOWLEDGE_PATH, KNOWN_END, PeerLink
-from baobabthread.instance.readiness import Readiness
+from baobabthread.instance.peers import KNOWN_END_PARAMETER, SNAPSHOT_PATH, PeerLink
+from baobabthread.instance.quarantinerecords import QuarantineRecords
 from baobabthread.instance.requestlog import RequestLog
 from baobabthread.instance.restrictions import Restrictions
+from baobabthread.instance.rollouts import RolloutController
 from baobabthread.instance.services import Services
 from baobabthread.instance.settings import InstanceSettings
+from baobabthread.instance.staleness import StalenessGossip
 from baobabthread.instance.store import RecordFormat, Store
 from baobabthread.instance.tasks import Work, keep_running, start_task
+from baobabthread.instance.topicreaders import BackendTopicReader, OperatorTopicReader
 from baobabthread.instance.wire import WireFormat
 from baobabthread.logs import log_event
 from baobabthread.routing.configuration import RequestLimits
@@ -40,9 +40,9 @@
 from baobabthread.routing.replica import StateReplica
 from baobabthread.routing.stopping import StallDetector, StopPlan, plan_stop
 
-TICK_S = 0.1
-PRUNE_S = 1.0
-COLLECT_AFTER = 20_000
+TICK_INTERVAL_S = 0.1
+PRUNE_INTERVAL_S = 1.0
+GC_THRESHOLD = 20_000
 """Objects after which the cycle collector looks for cycles; requests leave few."""
 
 
@@ -61,7 +61,7 @@
 ]
 
 
-class Outside(msgspec.Struct, frozen=True, kw_only=True):
+class Adapters(msgspec.Struct, frozen=True, kw_only=True):
     """Hold the adapters through which an instance meets the outside."""
 
     store: Any
@@ -79,25 +79,25 @@
 class Instance:
     """Compose the parts of one instance and run them."""
 
-    def __init__(self, *, settings: InstanceSettings, outside: Outside) -> None:
+    def __init__(self, *, settings: InstanceSettings, adapters: Adapters) -> None:
         self._settings = settings
-        self._outside = outside
-        self._store: Store = outside.store
-        self._formats: RecordFormat = outside.formats
-        self._wire: WireFormat = outside.wire
+        self._adapters = adapters
+        self._store: Store = adapters.store
+        self._formats: RecordFormat = adapters.formats
+        self._wire: WireFormat = adapters.wire
         rng = random.Random()
         self._rng = rng
         self.metrics = Metrics()
-        self.knowledge = StateReplica(bounds=settings.bounds)
-        self._areas = Regions(by_domain=settings.regions)
+        self.replica = StateReplica(bounds=settings.bounds)
+        self._regions = Regions(by_domain=settings.regions)
         self.restrictions = Restrictions(
             me=settings.name,
-            replica=self.knowledge,
-            regions=self._areas,
+            replica=self.replica,
+            regions=self._regions,
             bounds=settings.bounds,
         )
         self.backends = Backends(
-            replica=self.knowledge,
+            replica=self.replica,
             restrictions=self.restrictions,
             failure_domain=settings.failure_domain,
             rng=rng,
@@ -111,7 +111,7 @@
             settings=settings,
             incarnation=uuid.uuid4().hex[:12],
             started_at=round(now(), 3),
-            knowledge=self.knowledge,
+            replica=self.replica,
             rng=rng,
             find_plan=lambda name: self.services.get(name).plan,
         )
@@ -119,43 +119,45 @@
             backends=self.backends, report=self.peers.quarantine.report_crash
         )
         self.forwarder = Forwarder(
-            replica=self.knowledge,
+            replica=self.replica,
             backends=self.backends,
             services=self.services,
             wire=self._wire,
             rng=rng,
-            log=RequestLog(knowledge=self.knowledge, metrics=self.metrics),
-            sessions=self.peers.desk,
+            log=RequestLog(knowledge=self.replica, metrics=self.metrics),
+            sessions=self.peers.sessions,
             placement=self.peers.placement,
             crashes=self.crashes,
             quarantine=self.peers.quarantine,
             disabled=settings.off,
         )
         self._connect_quarantine()
-        self.conducting = Conducting(
-            knowledge=self.knowledge,
+        self.rollouts = RolloutController(
+            replica=self.replica,
             backends=self.backends,
             services=self.services,
             peers=self.peers,
             store=self._store,
             formats=self._formats,
         )
-        self.knowledge.on_update = self._take_knowledge
-        self.readiness = Readiness(publish=self.peers.publish, heard=self.peers.heard)
-        self._stopping: StopPlan | None = None
-        self._callers: asyncio.Server | None = None
-        self._shared: tuple[int, int] | None = None
-        self._members_seen = -1
+        self.replica.on_update = self._handle_replica_update
+        self.staleness = StalenessGossip(
+            publish=self.peers.publish, received=self.peers.received
+        )
+        self._stop_plan: StopPlan | None = None
+        self._caller_server: asyncio.Server | None = None
+        self._capacity_inputs: tuple[int, int] | None = None
+        self._membership_version = -1
         self._pulse = StallDetector(now=now())
 
     def _connect_quarantine(self) -> None:
-        desk = self.peers.quarantine
-        desk.is_canary = self.services.is_on_trial
-        desk.on_unproven_crash = self.services.note_crash
-        desk.find_versions = self.backends.versions
-        desk.was_answered = self.crashes.was_answered
-        desk.on_quarantined = self.crashes.cancel
-        self.crashes.on_answered = lambda flight: desk.release_answered(
+        coordinator = self.peers.quarantine
+        coordinator.is_canary = self.services.is_canary
+        coordinator.on_unproven_crash = self.services.record_crash
+        coordinator.find_versions = self.backends.versions
+        coordinator.was_answered = self.crashes.was_answered
+        coordinator.on_quarantined = self.crashes.cancel
+        self.crashes.on_answered = lambda flight: coordinator.release_answered(
             flight.fingerprint
         )
 
@@ -164,23 +166,23 @@
     @property
     def is_leaving(self) -> bool:
         """Tell whether this instance was told to stop."""
-        return self._stopping is not None
+        return self._stop_plan is not None
 
     @property
     def is_ready(self) -> bool:
         """Tell whether callers may be sent here."""
         return (
             not self.is_leaving
-            and self.knowledge.table is not None
-            and self.knowledge.is_fresh(now())
+            and self.replica.table is not None
+            and self.replica.is_fresh(now())
         )
 
     def find_addresses(
-        self, failure_domain: str | None, area: str | None
+        self, failure_domain: str | None, region: str | None
     ) -> AddressList:
         """Return which instances a caller may connect to."""
         membership = self.peers.membership
-        table = self.knowledge.table
+        table = self.replica.table
         dark = membership.table.list_dark_domains()
         return list_addresses(
             me=membership.me,
@@ -189,21 +191,21 @@
             # Failure: a domain goes dark, and the last of its members that nobody has
             # probed yet are named to callers for seconds.
             is_stale=lambda member: (
-                member.failure_domain in dark or self.readiness.is_stale(member)
+                member.failure_domain in dark or self.staleness.is_stale(member)
             ),
             failure_domain=failure_domain,
             max_lifetime_s=self._settings.bounds.max_lifetime_s,
-            region=area,
+            region=region,
             allowed_regions=table.common_regions if table is not None else frozenset(),
-            regions=self._areas,
+            regions=self._regions,
         )
 
     async def serve_peer(self, request: web.BaseRequest) -> web.StreamResponse:
         """Tell a peer what this instance knows."""
-        if request.path != KNOWLEDGE_PATH:
+        if request.path != SNAPSHOT_PATH:
             return web.Response(status=404)
-        known = request.query.get(KNOWN_END, "0")
-        snapshot = self.knowledge.snapshot(
+        known = request.query.get(KNOWN_END_PARAMETER, "0")
+        snapshot = self.replica.snapshot(
             now(), known_end=int(known) if known.isdigit() else 0
         )
         body = msgspec.json.encode(snapshot)
@@ -211,10 +213,10 @@
 
     async def serve_metrics(self, request: web.BaseRequest) -> web.StreamResponse:
         """Give the figures as text."""
-        if request.path != self._outside.metrics_path:
+        if request.path != self._adapters.metrics_path:
             return web.Response(status=404)
         self.metrics.in_flight.set(self.forwarder.in_flight)
-        self.metrics.replica_age.set(self.knowledge.operators_age(now()))
+        self.metrics.replica_age.set(self.replica.operators_age(now()))
         self.metrics.members.set(len(self.peers.membership.alive()))
         self.metrics.quarantined.set(
             len(self.peers.quarantine.quarantine.quarantined(now()))
@@ -247,7 +249,7 @@
         stack.callback(self.backends.close)
         stack.callback(self.crashes.close)
         await self._open(stack)
-        for work in self._list_work():
+        for work in self._list_tasks():
             start_task(stack, keep_running(work))
         log_event(
             "instance_started",
@@ -263,7 +265,7 @@
         earliest = self._pulse.find_earliest_signal(now())
         grace_s = self._settings.bounds.grace_s
         plan = plan_stop(grace_s=grace_s, now=now(), signalled_at=earliest)
-        self._stopping = plan
+        self._stop_plan = plan
         self.peers.leave()
         log_event(
             "instance_leaving",
@@ -275,8 +277,8 @@
         )
         self.forwarder.admission.begin_stop(plan)
         await asyncio.sleep(plan.accepts_until - now())
-        if self._callers is not None:
-            self._callers.close()
+        if self._caller_server is not None:
+            self._caller_server.close()
         await self.forwarder.wait_idle(plan.ends_at - now())
         log_event("instance_stopped", in_flight=self.forwarder.in_flight)
         await self.forwarder.shut_down()
@@ -288,21 +290,25 @@
             lambda: self.peers, local_addr=(settings.ip, settings.gossip_port)
         )
         stack.callback(self.peers.close)
-        interface = self._outside.make_interface(
+        interface = self._adapters.make_interface(
             lambda: self.is_ready, self.find_addresses
         )
         front = CallerServer(
             handle=self.forwarder.handle,
             wire=self._wire,
             is_leaving=lambda: self.is_leaving,
-            body_limit=self._limit_body,
+            body_limit=self._max_body_bytes,
+        )
+        self._caller_server = await self._listen(
+            stack, front.serve, settings.callers_address
         )
-        self._callers = await self._listen(stack, front.serve, settings.callers_address)
         await self._listen(stack, self.serve_peer, settings.control_address)
         await self._listen(stack, interface.serve_readiness, settings.readiness_address)
         await self._listen(stack, interface.serve_directory, settings.directory_address)
-        if self._outside.metrics_address is not None:
-            await self._listen(stack, self.serve_metrics, self._outside.metrics_address)
+        if self._adapters.metrics_address is not None:
+            await self._listen(
+                stack, self.serve_metrics, self._adapters.metrics_address
+            )
 
     async def _listen(
         self, stack: AsyncExitStack, serve: Any, address: str
@@ -311,35 +317,35 @@
         stack.callback(server.close)
         return server
 
-    def _take_knowledge(self) -> None:
+    def _handle_replica_update(self) -> None:
         self.backends.refresh()
-        self.conducting.take_orders()
-        if self.knowledge.is_complete:
+        self.rollouts.apply_orders()
+        if self.replica.is_complete:
             self.forwarder.admission.mark_ready()
 
-    def _limit_body(self) -> int:
-        table = self.knowledge.table
+    def _max_body_bytes(self) -> int:
+        table = self.replica.table
         limits = table.configuration.limits if table is not None else RequestLimits()
         return limits.max_body_bytes
 
-    def _list_work(self) -> list[Work]:
+    def _list_tasks(self) -> list[Work]:
         common: dict[str, Any] = {
             "store": self._store,
             "formats": self._formats,
-            "knowledge": self.knowledge,
+            "knowledge": self.replica,
             "metrics": self.metrics,
             "rng": self._rng,
-            "ask_peer": self.peers.ask_any,
-            "relay": self.peers.relay,
+            "ask_peer": self.peers.fetch_if_stale,
+            "relay": self.peers.replica_sync,
         }
         return [
-            OperatorsFeed(**common).run,
-            BackendsFeed(**common).run,
+            OperatorTopicReader(**common).run,
+            BackendTopicReader(**common).run,
             self.peers.run,
-            self.conducting.run,
-            HeldRecords(
-                desk=self.peers.quarantine,
-                relay=self.peers.relay,
+            self.rollouts.run,
+            QuarantineRecords(
+                coordinator=self.peers.quarantine,
+                replica_sync=self.peers.replica_sync,
                 store=self._store,
                 formats=self._formats,
             ).run,
@@ -351,30 +357,30 @@
         while True:
             self._pulse.tick(now())
             self.services.arrivals.tick(now())
-            self.knowledge.expire_lapsed(now())
-            self._note_members()
+            self.replica.expire_lapsed(now())
+            self._update_members()
             self.backends.refresh()
             sharing = (
                 len(self.peers.membership.alive()),
-                self.knowledge.revision,
+                self.replica.revision,
             )
-            if sharing != self._shared:
-                self._shared = sharing
-                self.services.share(sharing[0])
+            if sharing != self._capacity_inputs:
+                self._capacity_inputs = sharing
+                self.services.set_instance_count(sharing[0])
             self.forwarder.turns.tick()
-            self.readiness.tick(is_stale=not self.knowledge.is_fresh(now()))
-            await asyncio.sleep(TICK_S)
+            self.staleness.tick(is_stale=not self.replica.is_fresh(now()))
+            await asyncio.sleep(TICK_INTERVAL_S)
 
-    def _note_members(self) -> None:
+    def _update_members(self) -> None:
         membership = self.peers.membership
-        if self._members_seen != membership.version:
-            self._members_seen = membership.version
+        if self._membership_version != membership.version:
+            self._membership_version = membership.version
             names = [member.name for member in membership.members()]
             self.restrictions.update_members(names, now())
 
     async def _prune(self) -> None:
         while True:
-            await asyncio.sleep(PRUNE_S)
+            await asyncio.sleep(PRUNE_INTERVAL_S)
             self.backends.prune()
             self.crashes.prune()
 
@@ -401,4 +407,4 @@
 def _tune_collector() -> None:
     gc.collect()
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER, 50, 100)
+    gc.set_threshold(GC_THRESHOLD, 50, 100)
--- a/src/baobabthread/instance/heldrecords.py
+++ b/src/baobabthread/instance/quarantinerecords.py
@@ -10,7 +10,7 @@
 from baobabthread.errors import BaobabthreadError
 from baobabthread.instance.clock import now
 from baobabthread.instance.quarantine import QuarantineCoordinator
-from baobabthread.instance.relaying import Relay
+from baobabthread.instance.replicasync import ReplicaSync
 from baobabthread.instance.store import (
     Append,
     Conflict,
@@ -22,26 +22,26 @@
 from baobabthread.logs import log_event
 from baobabthread.routing.quarantine import QuarantineEntry
 
-LOOK_S = 0.25
-PAUSE_S = 0.5
+POLL_INTERVAL_S = 0.25
+RETRY_DELAY_S = 0.5
 """Pause after a call to the store that failed."""
-CALL_S = 0.8
+STORE_TIMEOUT_S = 0.8
 """Longest time for a call to the store."""
 
 
-class HeldRecords:
+class QuarantineRecords:
     """Read the stored list at a start, and write what is missing there."""
 
     def __init__(
         self,
         *,
-        desk: QuarantineCoordinator,
-        relay: Relay,
+        coordinator: QuarantineCoordinator,
+        replica_sync: ReplicaSync,
         store: Store,
         formats: RecordFormat,
     ) -> None:
-        self._desk = desk
-        self._relay = relay
+        self._coordinator = coordinator
+        self._replica_sync = replica_sync
         self._store = store
         self._formats = formats
 
@@ -52,32 +52,32 @@
                 await self._step()
             except StoreError as error:
                 log_event("held_not_stored", level="warning", error=str(error))
-                await asyncio.sleep(PAUSE_S)
-            await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(RETRY_DELAY_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _step(self) -> None:
-        desk = self._desk
-        if not desk.has_complete_list and (
-            self._relay.is_reader or desk.must_read_store
+        coordinator = self._coordinator
+        if not coordinator.has_complete_list and (
+            self._replica_sync.is_reader or coordinator.must_read_store
         ):
             await self._load()
         moment = now()
-        for fingerprint, due in list(desk.unwritten.items()):
+        for fingerprint, due in list(coordinator.unwritten.items()):
             if moment >= due:
                 await self._write(fingerprint)
 
     async def _load(self) -> tuple[dict[str, QuarantineEntry], int]:
         """Take over what is stored; return it, and where the topic ends."""
-        page = await self._store.newest(self._formats.status_topic, CALL_S)
+        page = await self._store.newest(self._formats.status_topic, STORE_TIMEOUT_S)
         stored = self._decode(page)
-        self._desk.apply_entries(list(stored.values()), source="store")
-        self._desk.has_complete_list = True
+        self._coordinator.apply_entries(list(stored.values()), source="store")
+        self._coordinator.has_complete_list = True
         return stored, page.end
 
     async def _write(self, fingerprint: str) -> None:
         stored, end = await self._load()
         before = stored.get(fingerprint)
-        held = self._desk.quarantine.get(fingerprint, now())
+        held = self._coordinator.quarantine.get(fingerprint, now())
         append: Append | None = None
         if held is None and before is not None:
             append = self._formats.encode_release(fingerprint, end)
@@ -86,11 +86,11 @@
         ):
             append = self._formats.encode_quarantined(held, end, unix_now=time.time())
         if append is not None:
-            if isinstance(await self._store.append(append, CALL_S), Conflict):
+            if isinstance(await self._store.append(append, STORE_TIMEOUT_S), Conflict):
                 # Somebody else wrote meanwhile: read again at the next step.
                 return
             log_event("held_stored", fingerprint=fingerprint, is_over=held is None)
-        self._desk.unwritten.pop(fingerprint, None)
+        self._coordinator.unwritten.pop(fingerprint, None)
 
     def _decode(self, page: Page) -> dict[str, QuarantineEntry]:
         found = {}
--- a/src/baobabthread/instance/responses.py
+++ b/src/baobabthread/instance/responses.py
@@ -10,7 +10,7 @@
 from baobabthread.instance.connections import IncompleteResponseError
 from baobabthread.instance.context import RequestContext
 from baobabthread.instance.estimates import Estimates
-from baobabthread.instance.events import EventCutter
+from baobabthread.instance.events import EventSplitter
 from baobabthread.instance.requestlog import RequestLog
 from baobabthread.instance.selection import Selection, WaitEstimate
 from baobabthread.instance.services import ServiceState
@@ -90,7 +90,7 @@
         may_repeat = flight.route.may_retry and flight.has_attempts_left
         # With no other server left the caller is better off with this one's own words.
         has_other = may_repeat and self._selection.has_alternative(flight, attempt.link)
-        if has_other and state.spend():
+        if has_other and state.spend_retry():
             flight.excluded.add(attempt.link.name)
             raise RetryRequested(Outcome.FAILED)
         await self._forward(flight, attempt, head, body)
@@ -142,7 +142,7 @@
         expected_s = self._estimates.total_s(flight, flight.route.models[larger])
         if now() + LENGTH_MARGIN * expected_s > flight.deadline:
             return "deadline"
-        return None if state.spend() else "budget"
+        return None if state.spend_retry() else "budget"
 
     async def _estimate_escalation(
         self, flight: RequestContext, head: ResponseHead, question: PendingResponse
@@ -178,7 +178,7 @@
             headers = self._wire.filter_response_headers(head.response.raw_headers)
             flight.head_s = now() - flight.started_at
             await reply.begin(head.status, headers)
-        cutter = EventCutter(passed=flight.last_event)
+        cutter = EventSplitter(last_forwarded_id=flight.last_event)
         first_at = now()
         while chunk := await self._read_stream_chunk(flight, attempt):
             events = cutter.feed(chunk)
@@ -186,7 +186,7 @@
                 await reply.write(events.data)
             if events.last_id is not None:
                 flight.last_event = events.last_id
-        if not cutter.is_clean:
+        if not cutter.is_drained:
             raise IncompleteResponseError("stream ended within an event")
         attempt.finish()
         self._estimates.observe_stream(flight, head.latency_s, now() - first_at)
--- a/src/baobabthread/instance/services.py
+++ b/src/baobabthread/instance/services.py
@@ -11,7 +11,7 @@
 from baobabthread.routing.queues import ServiceQueue
 from baobabthread.routing.versions import VersionPlan
 
-CRASHES = "crashes"
+CRASH_CALL = "crashes"
 """Stands for a route where a backend server crashed instead of answering."""
 
 
@@ -28,7 +28,7 @@
         self.plan = VersionPlan(service=name, bounds=bounds)
         self.budget = RetryBudget(bounds=bounds, members=members)
 
-    def spend(self) -> bool:
+    def spend_retry(self) -> bool:
         """Take a repeat out of the budget; return whether there was one."""
         return self.budget.try_spend(now())
 
@@ -36,14 +36,21 @@
 class Services:
     """Keep the state of each service and divide what instances share."""
 
-    __slots__ = ("_backends", "_bounds", "_entries", "_members", "_states", "arrivals")
+    __slots__ = (
+        "_backends",
+        "_bounds",
+        "_instance_count",
+        "_members",
+        "_states",
+        "arrivals",
+    )
 
     def __init__(
         self, *, backends: Backends, bounds: RoutingBounds, is_single: bool = False
     ) -> None:
         self._backends = backends
         self._bounds = bounds
-        self._entries = 1
+        self._instance_count = 1
         self._states: dict[str, ServiceState] = {}
         self.arrivals = ArrivalEstimator()
         self._members = MemberCount(
@@ -58,15 +65,17 @@
         state = self._states.get(name)
         if state is None:
             state = ServiceState(name=name, bounds=self._bounds, members=self._members)
-            state.queue.set_capacity(self._backends.capacity(name), self._entries)
+            state.queue.set_capacity(
+                self._backends.capacity(name), self._instance_count
+            )
             self._states[name] = state
         return state
 
-    def is_on_trial(self, service: str, version: str) -> bool:
+    def is_canary(self, service: str, version: str) -> bool:
         """Tell whether a version is on trial, or failed its trial."""
         return self.get(service).plan.is_unproven(version)
 
-    def note_crash(self, service: str, version: str) -> None:
+    def record_crash(self, service: str, version: str) -> None:
         """Hold a crash against a version on trial, as one bad answer.
 
         A version that crashes under everything answers nothing: judged by answers alone
@@ -76,13 +85,17 @@
         if plan.order is None or plan.order.target != version or not plan.is_running:
             return
         plan.analysis.observe_response(
-            is_canary=True, call=CRASHES, kind=CRASHES, failed=True, latency_s=None
+            is_canary=True,
+            call=CRASH_CALL,
+            kind=CRASH_CALL,
+            failed=True,
+            latency_s=None,
         )
 
-    def share(self, entries: int) -> None:
+    def set_instance_count(self, count: int) -> None:
         """Divide capacity and the fixed part of repeats among so many instances."""
-        self._entries = max(1, entries)
-        self._members.record(self._entries)
+        self._instance_count = max(1, count)
+        self._members.record(self._instance_count)
         for state in self:
             capacity = self._backends.capacity(state.name)
-            state.queue.set_capacity(capacity, self._entries)
+            state.queue.set_capacity(capacity, self._instance_count)
--- a/src/baobabthread/instance/readiness.py
+++ b/src/baobabthread/instance/staleness.py
@@ -16,17 +16,17 @@
 from baobabthread.instance.clock import now
 
 TOPIC = "stale"
-REPEAT_S = 1.5
+REPORT_INTERVAL_S = 1.5
 """Time between two words of an instance that stays stale."""
-BELIEVED_S = 3.5
+REPORT_TTL_S = 3.5
 """How long such a word counts: twice the time between two of them and a bit, as it
 takes some rounds of gossip to arrive."""
 
 Publish = Callable[[str, msgspec.Struct], None]
-Heard = Callable[[str], Iterator[GossipPayload]]
+Received = Callable[[str], Iterator[GossipPayload]]
 
 
-class StaleWord(msgspec.Struct, frozen=True, kw_only=True):
+class StalenessReport(msgspec.Struct, frozen=True, kw_only=True):
     """Say whether the sender refuses keys."""
 
     is_stale: bool
@@ -34,45 +34,56 @@
     """Rises with each word, so that one that is repeated is news."""
 
 
-class _Heard(msgspec.Struct):
-    word: StaleWord
-    at: float
+class _ReceivedReport(msgspec.Struct):
+    report: StalenessReport
+    received_at: float
 
 
-class Readiness:
+class StalenessGossip:
     """Say when this instance is stale, and remember who else said so of late."""
 
-    __slots__ = ("_heard", "_listen", "_number", "_publish", "_said_at", "_was_stale")
+    __slots__ = (
+        "_heard",
+        "_received",
+        "_number",
+        "_publish",
+        "_published_at",
+        "_was_stale",
+    )
 
-    def __init__(self, *, publish: Publish, heard: Heard) -> None:
+    def __init__(self, *, publish: Publish, received: Received) -> None:
         self._publish = publish
-        self._listen = heard
-        self._heard: dict[str, _Heard] = {}
+        self._received = received
+        self._reports: dict[str, _ReceivedReport] = {}
         self._number = 0
-        self._said_at = -1e9
+        self._published_at = -1e9
         self._was_stale = False
 
     def tick(self, *, is_stale: bool) -> None:
         """Say what is due, and take in what others said."""
         moment = now()
-        repeats = is_stale and moment - self._said_at >= REPEAT_S
+        repeats = is_stale and moment - self._published_at >= REPORT_INTERVAL_S
         if repeats or is_stale != self._was_stale:
             self._was_stale = is_stale
-            self._said_at = moment
+            self._published_at = moment
             self._number += 1
-            self._publish(TOPIC, StaleWord(is_stale=is_stale, number=self._number))
-        for payload in self._listen(TOPIC):
-            self._take(payload, moment)
+            self._publish(
+                TOPIC, StalenessReport(is_stale=is_stale, number=self._number)
+            )
+        for payload in self._received(TOPIC):
+            self._handle(payload, moment)
 
     def is_stale(self, member: MemberInfo) -> bool:
         """Tell whether a member said of late that it refuses keys."""
-        heard = self._heard.get(member.incarnation)
-        if heard is None or not heard.word.is_stale:
+        heard = self._reports.get(member.incarnation)
+        if heard is None or not heard.report.is_stale:
             return False
-        return now() - heard.at < BELIEVED_S
-
-    def _take(self, payload: GossipPayload, moment: float) -> None:
-        known = self._heard.get(payload.origin)
-        word = msgspec.json.decode(payload.body, type=StaleWord)
-        if known is None or word.number > known.word.number:
-            self._heard[payload.origin] = _Heard(word=word, at=moment)
+        return now() - heard.received_at < REPORT_TTL_S
+
+    def _handle(self, payload: GossipPayload, moment: float) -> None:
+        known = self._reports.get(payload.origin)
+        word = msgspec.json.decode(payload.body, type=StalenessReport)
+        if known is None or word.number > known.report.number:
+            self._reports[payload.origin] = _ReceivedReport(
+                report=word, received_at=moment
+            )
--- a/src/baobabthread/instance/tasks.py
+++ b/src/baobabthread/instance/tasks.py
@@ -9,7 +9,7 @@
 
 from baobabthread.logs import log_event
 
-RESUME_S = 0.1
+RESTART_DELAY_S = 0.1
 """Pause before work that failed goes on: long enough that a fault in each step can't
 take the whole processor, short beside the time after which peers call a member dead."""
 
@@ -20,7 +20,7 @@
 def start_task(stack: AsyncExitStack, work: Coroutine[Any, Any, None]) -> None:
     """Run work that the stack cancels; tell how it ended."""
     task = asyncio.ensure_future(work)
-    task.add_done_callback(_note_end)
+    task.add_done_callback(_log_failure)
     stack.callback(task.cancel)
 
 
@@ -41,10 +41,10 @@
                 work=work.__qualname__,
                 reason=repr(error),
             )
-        await asyncio.sleep(RESUME_S)
+        await asyncio.sleep(RESTART_DELAY_S)
 
 
-def _note_end(task: asyncio.Task[None]) -> None:
+def _log_failure(task: asyncio.Task[None]) -> None:
     if task.cancelled():
         return
     error = task.exception()
--- a/src/baobabthread/platform/program.py
+++ b/src/baobabthread/platform/program.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from baobabthread.errors import BaobabthreadError, UsageError
-from baobabthread.instance.process import Instance, Outside
+from baobabthread.instance.process import Adapters, Instance
 from baobabthread.platform.headers import PlatformWireFormat
 from baobabthread.platform.interface import PlatformInterface
 from baobabthread.platform.records import PlatformRecordFormat
@@ -61,7 +61,7 @@
         read_settings(arguments.settings), off=frozenset(arguments.without)
     )
     port, _, path = (arguments.metrics or "").partition("/")
-    outside = Outside(
+    outside = Adapters(
         store=PlatformStore(
             address=settings.store_address, connect_s=CONNECT_TIMEOUT_S
         ),
@@ -73,4 +73,4 @@
         metrics_address=f"{settings.ip}:{port}" if port else None,
         metrics_path=f"/{path}",
     )
-    return await Instance(settings=settings, outside=outside).run()
+    return await Instance(settings=settings, adapters=outside).run()
--- a/tests/adapters/test_codec.py
+++ b/tests/adapters/test_codec.py
@@ -14,14 +14,18 @@
     compress,
     expand,
 )
-from baobabthread.instance.relaying import RELAY_MESSAGES, AskKnowledge, KnowledgeIs
+from baobabthread.instance.replicasync import (
+    REPLICA_MESSAGES,
+    ReplicaQuery,
+    ReplicaReply,
+)
 from baobabthread.routing.configuration import BackendRecord
 
-CODEC = PeerCodec(types=RELAY_MESSAGES)
+CODEC = PeerCodec(types=REPLICA_MESSAGES)
 
 
-def tell(count: int) -> KnowledgeIs:
-    return KnowledgeIs(
+def tell(count: int) -> ReplicaReply:
+    return ReplicaReply(
         sequence=0,
         operators_end=3,
         operators_age_s=0.5,
@@ -59,7 +63,7 @@
 
 
 def test_leave_short_messages_as_they_are() -> None:
-    body = CODEC.encode("front-1", [AskKnowledge(sequence=1)])
+    body = CODEC.encode("front-1", [ReplicaQuery(sequence=1)])
     assert body.startswith(b'{"sender"')
 
 
--- a/tests/instance/test_messages.py
+++ b/tests/instance/test_messages.py
@@ -6,6 +6,7 @@
 import pytest
 
 from baobabthread.adapters.codec import PeerCodec, expand
+from baobabthread.instance.canaries import CanaryPermit, CanaryReport, CanaryVerdict
 from baobabthread.instance.placement import (
     LoadsReply,
     LoadsRequest,
@@ -13,15 +14,14 @@
     PromptPlaced,
 )
 from baobabthread.instance.quarantine import QuarantineDigest, QuarantineEntries
-from baobabthread.instance.readiness import StaleWord
-from baobabthread.instance.relaying import AskKnowledge, KnowledgeIs
+from baobabthread.instance.replicasync import ReplicaQuery, ReplicaReply
 from baobabthread.instance.sessions import (
-    AskVersion,
-    SessionsInUse,
-    UsesNoted,
-    VersionIs,
+    SessionUseAck,
+    SessionUseReport,
+    VersionQuery,
+    VersionReply,
 )
-from baobabthread.instance.trialdesk import TrialPermit, TrialVerdict, TrialWord
+from baobabthread.instance.staleness import StalenessReport
 from baobabthread.routing.configuration import RolloutStatus
 from baobabthread.routing.crashes import Crash
 from baobabthread.routing.progress import Progress
@@ -47,10 +47,10 @@
         b',"times":3,"left_s":4.5,"is_cleared":true,"versions":["s6"]}],"is_comp'
         b'lete":true,"wants_reply":true}'
     ),
-    AskKnowledge: (
+    ReplicaQuery: (
         b'{"type":"knowledge.ask","sequence":1,"backends_end":2,"operators_end":3}'
     ),
-    KnowledgeIs: (
+    ReplicaReply: (
         b'{"type":"knowledge.is","sequence":1,"operators_end":2,"operators_age_s'
         b'":3.5,"backends_end":4,"backends_changed_at":5,"backends_age_s":6.5,"s'
         b'ince":7,"changed":[{"id":"s8","service":"s9","address":"s10","failure_'
@@ -70,16 +70,16 @@
         b'"time_limit_s":59.5}],"evacuations":[{"number":60,"failure_domain":"s6'
         b'1","is_on":true}]}]}'
     ),
-    AskVersion: (
+    VersionQuery: (
         b'{"type":"session.ask","sequence":1,"service":"s2","number":3,"session":"s4"}'
     ),
-    VersionIs: (b'{"type":"session.is","sequence":1,"is_new":true}'),
-    SessionsInUse: (
+    VersionReply: (b'{"type":"session.is","sequence":1,"is_new":true}'),
+    SessionUseReport: (
         b'{"type":"session.uses","sequence":1,"service":"s2","number":3,"ages":{'
         b'"s4":5.5},"moved":["s6"]}'
     ),
-    UsesNoted: (b'{"type":"session.noted","sequence":1}'),
-    TrialWord: (
+    SessionUseAck: (b'{"type":"session.noted","sequence":1}'),
+    CanaryReport: (
         b'{"type":"trial.word","origin":"s1","progress":{"service":"s2","number"'
         b':3,"elapsed_s":4.5,"share":5.5,"old_running":6,"alarm":"s7","is_suspic'
         b'ious":true,"is_final":true,"base":"s10","has_begun":true,"total":{"req'
@@ -88,14 +88,14 @@
         b'cy",20,21]]},"exposure":{"requests":22,"exposed":23,"attempts":24},"se'
         b'nt_at":25.5,"needs_permit":true}'
     ),
-    TrialPermit: (
+    CanaryPermit: (
         b'{"type":"trial.permit","progress":{"service":"s1","number":2,"elapsed_'
         b's":3.5,"share":4.5,"old_running":5,"alarm":"s6","is_suspicious":true,"'
         b'is_final":true,"base":"s9","has_begun":true,"total":{"requests":11,"ex'
         b'posed":12,"attempts":13},"admits":true,"end_part":15.5,"state":"revert'
         b'ed"},"sent_at":16.5}'
     ),
-    TrialVerdict: (
+    CanaryVerdict: (
         b'{"type":"trial.verdict","progress":{"service":"s1","number":2,"elapsed'
         b'_s":3.5,"share":4.5,"old_running":5,"alarm":"s6","is_suspicious":true,'
         b'"is_final":true,"base":"s9","has_begun":true,"total":{"requests":11,"e'
@@ -122,7 +122,7 @@
         b':47,"cold_left_s":48.5}],"evacuations":[{"number":49,"failure_domain":'
         b'"s50","is_on":true}]}'
     ),
-    StaleWord: (b'{"is_stale":true,"number":2}'),
+    StalenessReport: (b'{"is_stale":true,"number":2}'),
     Progress: (
         b'{"service":"s1","number":2,"elapsed_s":3.5,"share":4.5,"old_running":5'
         b',"alarm":"s6","is_suspicious":true,"is_final":true,"base":"s9","has_be'
--- a/tests/instance/test_heldrecords.py
+++ b/tests/instance/test_quarantinerecords.py
@@ -8,8 +8,8 @@
 from bench._virtual import run_virtually
 
 from baobabthread.instance.clock import now
-from baobabthread.instance.heldrecords import HeldRecords
 from baobabthread.instance.quarantine import QuarantineCoordinator
+from baobabthread.instance.quarantinerecords import QuarantineRecords
 from baobabthread.instance.store import Append
 from baobabthread.routing.quarantine import (
     QUARANTINE_S,
@@ -26,10 +26,12 @@
     is_reader = True
 
 
-def make_records(store: Any) -> tuple[HeldRecords, QuarantineCoordinator]:
+def make_records(store: Any) -> tuple[QuarantineRecords, QuarantineCoordinator]:
     desk = QuarantineCoordinator(me="a", send=lambda to, word: None)
     relay: Any = Reader()
-    return HeldRecords(desk=desk, relay=relay, store=store, formats=Formats()), desk
+    return QuarantineRecords(
+        coordinator=desk, replica_sync=relay, store=store, formats=Formats()
+    ), desk
 
 
 def hold(desk: QuarantineCoordinator) -> None:
--- a/tests/instance/test_relaying.py
+++ b/tests/instance/test_replicasync.py
@@ -8,7 +8,7 @@
 import pytest
 
 from baobabthread.instance import relaying
-from baobabthread.instance.relaying import AskKnowledge, KnowledgeIs, Relay
+from baobabthread.instance.replicasync import ReplicaQuery, ReplicaReply, ReplicaSync
 from baobabthread.routing.bounds import RoutingBounds
 from baobabthread.routing.configuration import BackendRecord
 from baobabthread.routing.readers import ReaderAssignment
@@ -38,10 +38,10 @@
         self.knowledge = StateReplica(bounds=RoutingBounds())
         self.sent: list[tuple[str, Any]] = []
         self.fetched: list[str] = []
-        self.relay = Relay(
+        self.relay = ReplicaSync(
             me=name,
-            knowledge=self.knowledge,
-            tell=self._tell,
+            replica=self.knowledge,
+            send=self._tell,
             fetch=self.fetched.append,
         )
         self.relay.set_members(names)
@@ -85,13 +85,13 @@
     member.relay.tick()
     ((_, question),) = member.sent
     clock.time += 0.2
-    reader.relay.answer("member", question)
+    reader.relay.handle_query("member", question)
     ((_, word),) = reader.sent
     clock.time += 0.3
-    member.relay.take("reader", word)
+    member.relay.handle_reply("reader", word)
     # Counted from the question: the answer may have waited in a paused process.
     assert member.knowledge.operators_age(clock.time) == pytest.approx(0.7, abs=0.002)
-    assert not member.relay.needs_operators()
+    assert not member.relay.must_read_operators()
 
 
 def test_take_no_age_from_a_word_that_nobody_asked_for(clock: Clock) -> None:
@@ -103,7 +103,7 @@
     _, others = make_members()
     member = others[0]
     member.read(5, clock.time - 10)
-    word = KnowledgeIs(
+    word = ReplicaReply(
         sequence=0,
         operators_end=5,
         operators_age_s=0.1,
@@ -111,7 +111,7 @@
         backends_changed_at=5,
         backends_age_s=0.1,
     )
-    member.relay.take("reader", word)
+    member.relay.handle_reply("reader", word)
     assert member.knowledge.operators_age(clock.time) == 10.0
 
 
@@ -120,7 +120,7 @@
     reader, member = readers[0], others[0]
     member.read(5, clock.time)
     reader.read(5, clock.time)
-    reader.relay.answer("member", AskKnowledge(sequence=1))
+    reader.relay.handle_query("member", ReplicaQuery(sequence=1))
     reader.relay.tick()
     reader.sent.clear()
     reader.knowledge.apply_backend(
@@ -137,7 +137,7 @@
     reader.relay.tick()
     ((to, word),) = reader.sent
     assert to == "member"
-    member.relay.take("reader", word)
+    member.relay.handle_reply("reader", word)
     assert member.fetched == ["reader"]
 
 
@@ -150,8 +150,8 @@
     _, others = make_members()
     member = others[0]
     member.read(5, clock.time)
-    assert not member.relay.needs_operators()
-    word = KnowledgeIs(
+    assert not member.relay.must_read_operators()
+    word = ReplicaReply(
         sequence=0,
         operators_end=6,
         operators_age_s=0.1,
@@ -159,11 +159,11 @@
         backends_changed_at=5,
         backends_age_s=0.1,
     )
-    member.relay.take("reader", word)
-    assert member.relay.needs_operators()
+    member.relay.handle_reply("reader", word)
+    assert member.relay.must_read_operators()
     assert member.fetched == []
     member.read(6, clock.time)
-    assert not member.relay.needs_operators()
+    assert not member.relay.must_read_operators()
 
 
 def find_roles(count: int) -> tuple[Member, list[Member], list[Member]]:
@@ -179,7 +179,7 @@
     """Answer nothing until a member reads itself; return after how long."""
     began = clock.time
     member.read(5, clock.time)
-    while not member.relay.needs_operators():
+    while not member.relay.must_read_operators():
         clock.time += 0.05
         member.relay.tick()
         assert clock.time < began + 5.0
@@ -214,15 +214,15 @@
     Each that took itself for the only one would read twice a second for all others.
     """
     knowledge = StateReplica(bounds=RoutingBounds())
-    relay = Relay(
+    relay = ReplicaSync(
         me="i0",
-        knowledge=knowledge,
-        tell=lambda to, message: None,
+        replica=knowledge,
+        send=lambda to, message: None,
         fetch=lambda name: None,
         has_seeds=True,
     )
     knowledge.record_operators_read(end=5, requested_at=clock.time)
-    assert not relay.needs_operators()
+    assert not relay.must_read_operators()
     clock.time += 3.0
     assert relay.is_reader
 
@@ -257,12 +257,12 @@
     reader.read(7, clock.time)
     member.relay.tick()
     ((_, question),) = member.sent
-    reader.relay.answer("member", question)
+    reader.relay.handle_query("member", question)
     ((_, word),) = reader.sent
     assert [record.id for record in word.changed] == ["b1"]
     assert word.gone == ["b2"]
     clock.time += 5.0
-    member.relay.take("reader", word)
+    member.relay.handle_reply("reader", word)
     member.knowledge.expire_lapsed(clock.time)
     assert member.fetched == []
     assert member.knowledge.backends["b1"].leaving
@@ -270,17 +270,17 @@
     assert member.knowledge.backends_end == 7
 
 
-def ask(member: Member, reader: Member) -> KnowledgeIs:
+def ask(member: Member, reader: Member) -> ReplicaReply:
     """Let a member ask a reader and take in the answer; return it."""
     member.sent.clear()
     reader.sent.clear()
-    member.relay._asked_at = -1e9
+    member.relay._queried_at = -1e9
     member.relay.tick()
     ((_, question),) = member.sent
-    reader.relay.answer("member", question)
+    reader.relay.handle_query("member", question)
     ((_, word),) = reader.sent
-    assert isinstance(word, KnowledgeIs)
-    member.relay.take("reader", word)
+    assert isinstance(word, ReplicaReply)
+    member.relay.handle_reply("reader", word)
     return word
 
 
@@ -348,9 +348,9 @@
     reader.read(9, clock.time)
     member.relay.tick()
     ((_, question),) = member.sent
-    reader.relay.answer("member", question)
+    reader.relay.handle_query("member", question)
     ((_, word),) = reader.sent
-    member.relay.take("reader", word)
+    member.relay.handle_reply("reader", word)
     assert member.fetched == ["reader"]
     assert member.knowledge.backends_end == 5
 
@@ -370,7 +370,7 @@
         member.relay.tick()
         for to, question in member.sent:
             asked.add(to)
-            stale = KnowledgeIs(
+            stale = ReplicaReply(
                 sequence=question.sequence,
                 operators_end=5,
                 operators_age_s=clock.time - 100.0,
@@ -378,6 +378,6 @@
                 backends_changed_at=5,
                 backends_age_s=clock.time - 100.0,
             )
-            member.relay.take(to, stale)
+            member.relay.handle_reply(to, stale)
         member.sent.clear()
     assert len(asked) == 5
--- a/tests/instance/test_sessions.py
+++ b/tests/instance/test_sessions.py
@@ -12,10 +12,10 @@
 from baobabthread.instance import sessions
 from baobabthread.instance.clock import now
 from baobabthread.instance.sessions import (
-    AskVersion,
-    SessionDesk,
-    SessionsInUse,
-    VersionIs,
+    SessionCoordinator,
+    SessionUseReport,
+    VersionQuery,
+    VersionReply,
 )
 from baobabthread.routing.bounds import RoutingBounds
 from baobabthread.routing.configuration import RolloutOrder
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         self.plans: dict[str, VersionPlan] = {}
-        self.desks: dict[str, SessionDesk] = {}
+        self.desks: dict[str, SessionCoordinator] = {}
         self.lost = False
         self.lose: Counter[type] = Counter()
         """How many of the next messages are lost, by kind."""
@@ -47,9 +47,9 @@
     def restart(self, name: str, plan: VersionPlan) -> None:
         """Put an instance in place that knows just this plan."""
         self.plans[name] = plan
-        self.desks[name] = SessionDesk(
+        self.desks[name] = SessionCoordinator(
             me=name,
-            tell=lambda to, message: self.carry(name, to, message),
+            send=lambda to, message: self.carry(name, to, message),
             find_plan=lambda _: plan,
         )
         self.desks[name].set_members(NAMES)
@@ -103,12 +103,12 @@
         plan = net.plans[seen_at]
         for session in find_contested(net):
             plan.record_old_started(session, now())
-        net.desks[seen_at].begin(plan)
+        net.desks[seen_at].report_in_use(plan)
         for session in find_contested(net):
             for name in NAMES:
                 assert not await net.desks[name].decide(net.plans[name], session)
         before = net.count
-        net.desks[seen_at].begin(plan)
+        net.desks[seen_at].report_in_use(plan)
         assert net.count == before
 
     asyncio.run(case())
@@ -142,9 +142,9 @@
         for session in contested:
             plan.record_old_started(session, now())
         net.lost = True
-        desk.begin(plan)
+        desk.report_in_use(plan)
         net.lost = False
-        later = now() + sessions.REPEAT_S
+        later = now() + sessions.RESEND_INTERVAL_S
         monkeypatch.setattr(sessions, "now", lambda: later)
         desk.tick()
         for session in contested:
@@ -170,7 +170,7 @@
         contested = find_contested(net)
         for session in contested:
             plan.record_old_started(session, now())
-        net.desks[seen_at].begin(plan)
+        net.desks[seen_at].report_in_use(plan)
         fresh = VersionPlan(service="s", bounds=RoutingBounds(exposure_share=1.0))
         fresh.apply_order(ORDER, now() - 10.0, served_before_order=False)
         fresh.update_target(usable=True, now=now() - 9.0)
@@ -194,7 +194,7 @@
         desk, plan = net.desks["i1"], net.plans["i1"]
         session = next(s for s in find_contested(net) if rank(s, NAMES)[0] == "i3")
         net.desks["i1"].set_members(["i1", "i3"])
-        net.lose[VersionIs] = 2
+        net.lose[VersionReply] = 2
         net.plans["i1"].served_before_order = False
         assert not await desk.decide(plan, session)
         assert not await net.desks["i2"].decide(net.plans["i2"], session)
@@ -210,7 +210,7 @@
         desk, plan = net.desks["i1"], net.plans["i1"]
         session, _, _ = find_asked(net)
         assert await net.desks["i2"].decide(net.plans["i2"], session)
-        net.lose[AskVersion] = 2
+        net.lose[VersionQuery] = 2
         assert await desk.decide(plan, session)
 
     asyncio.run(case())
@@ -222,7 +222,7 @@
         desk, plan = net.desks["i1"], net.plans["i1"]
         session, _, _ = find_asked(net)
         assert await desk.decide(plan, session)
-        desk.note_new(plan, session)
+        desk.report_new(plan, session)
         net.lost = True
         assert await desk.decide(plan, session)
 
@@ -237,7 +237,7 @@
         session, first, second = find_asked(net)
         desk, plan = net.desks["i1"], net.plans["i1"]
         assert await desk.decide(plan, session)
-        desk.note_new(plan, session)
+        desk.report_new(plan, session)
         for each in net.plans.values():
             each.permit(requested_at=now(), admits=False)
         left = [name for name in NAMES if name != first]
@@ -255,9 +255,9 @@
         net = Net()
         session, first, second = find_asked(net)
         desk, plan = net.desks["i1"], net.plans["i1"]
-        desk.begin(plan)
+        desk.report_in_use(plan)
         assert await desk.decide(plan, session)
-        desk.note_new(plan, session)
+        desk.report_new(plan, session)
         desk.set_members(["i1"])
         for name in (first, second):
             fresh = VersionPlan(service="s", bounds=RoutingBounds(exposure_share=1.0))
@@ -297,7 +297,7 @@
         plan, desk = net.plans["i1"], net.desks["i1"]
         session = next(s for s in find_contested(net) if rank(s, NAMES)[0] == "i2")
         plan.record_old_started(session, now())
-        desk.begin(plan)
+        desk.report_in_use(plan)
         began = now()
         for seconds in range(2, 20, 2):
             later = began + seconds
@@ -319,7 +319,8 @@
         plan = net.plans["i1"]
         plan.record_old_started(session, now())
         net.desks[second].handle(
-            "i1", SessionsInUse(sequence=1, service="s", number=1, ages={session: 0.0})
+            "i1",
+            SessionUseReport(sequence=1, service="s", number=1, ages={session: 0.0}),
         )
         permission = Permission()
         permission.permit(requested_at=now() - 9.0, admits=True)
@@ -334,11 +335,11 @@
     async def case() -> None:
         net = Net()
         desk, plan = net.desks["i1"], net.plans["i1"]
-        desk.begin(plan)
+        desk.report_in_use(plan)
         session, _, _ = find_asked(net)
         desk.set_members(["i1"])
         plan.record_old_started(session, now())
-        desk.note_use(plan, session)
+        desk.report_old(plan, session)
         desk.set_members(NAMES)
         for name in rank(session, NAMES)[:2]:
             assert net.plans[name].pins.is_in_use(session, now())
@@ -357,7 +358,7 @@
         net.plans[first].final_budget = FinalPhaseBudget(quota=9.0)
         desk, plan = net.desks["i1"], net.plans["i1"]
         assert await desk.decide(plan, session)
-        net.lose[AskVersion] = 1
+        net.lose[VersionQuery] = 1
         assert await desk.decide(plan, session)
         assert not net.plans[second].pins.is_admitted(session)
 
@@ -371,10 +372,10 @@
         for plan in net.plans.values():
             plan.begin_final_phase(now(), quota=0.0)
         net.plans[second].final_budget = FinalPhaseBudget(quota=9.0)
-        net.lose[AskVersion] = 1
+        net.lose[VersionQuery] = 1
         desk, plan = net.desks["i1"], net.plans["i1"]
         assert await desk.decide(plan, session)
-        desk.note_new(plan, session)
+        desk.report_new(plan, session)
         assert net.plans[first].pins.is_admitted(session)
         assert await desk.decide(plan, session)
 
--- a/tests/instance/test_readiness.py
+++ b/tests/instance/test_staleness.py
@@ -7,7 +7,11 @@
 
 from baobabthread.core.membership.messages import GossipPayload, MemberInfo
 from baobabthread.instance import readiness
-from baobabthread.instance.readiness import BELIEVED_S, REPEAT_S, Readiness
+from baobabthread.instance.staleness import (
+    REPORT_INTERVAL_S,
+    REPORT_TTL_S,
+    StalenessGossip,
+)
 
 OTHER = MemberInfo(
     name="i2",
@@ -26,10 +30,12 @@
         self.time = 100.0
         self.words: list[GossipPayload] = []
         monkeypatch.setattr(readiness, "now", lambda: self.time)
-        self.speaker = Readiness(publish=self._publish, heard=lambda topic: iter(()))
-        self.listener = Readiness(
+        self.speaker = StalenessGossip(
+            publish=self._publish, received=lambda topic: iter(())
+        )
+        self.listener = StalenessGossip(
             publish=lambda topic, word: None,
-            heard=lambda topic: iter(self.words[-1:]),
+            received=lambda topic: iter(self.words[-1:]),
         )
 
     def _publish(self, topic: str, word: msgspec.Struct) -> None:
@@ -61,7 +67,7 @@
 ) -> None:
     pair = Pair(monkeypatch)
     pair.run(10.0, is_stale=True)
-    assert len(pair.words) == pytest.approx(10.0 / REPEAT_S, abs=1)
+    assert len(pair.words) == pytest.approx(10.0 / REPORT_INTERVAL_S, abs=1)
     assert pair.listener.is_stale(OTHER)
     pair.run(0.2, is_stale=False)
     assert not pair.listener.is_stale(OTHER)
@@ -74,7 +80,7 @@
     """
     pair = Pair(monkeypatch)
     pair.run(1.0, is_stale=True)
-    for _ in range(round(BELIEVED_S / 0.1) + 1):
+    for _ in range(round(REPORT_TTL_S / 0.1) + 1):
         pair.time += 0.1
         pair.listener.tick(is_stale=False)
     assert not pair.listener.is_stale(OTHER)
--- a/tests/platform/site.py
+++ b/tests/platform/site.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from baobabthread.instance.process import Instance, Outside
+from baobabthread.instance.process import Adapters, Instance
 from baobabthread.instance.settings import InstanceSettings
 from baobabthread.platform.headers import PlatformWireFormat
 from baobabthread.platform.interface import PlatformInterface
@@ -135,7 +135,7 @@
         settings = msgspec.structs.replace(
             parse_settings(json.dumps(text).encode(), "test"), off=off
         )
-        outside = Outside(
+        outside = Adapters(
             store=PlatformStore(address=settings.store_address, connect_s=0.3),
             formats=PlatformRecordFormat(),
             wire=PlatformWireFormat(),
@@ -143,7 +143,7 @@
                 is_ready=is_ready, find_addresses=find
             ),
         )
-        instance = Instance(settings=settings, outside=outside)
+        instance = Instance(settings=settings, adapters=outside)
         stack = contextlib.AsyncExitStack()
         await instance.start(stack)
         self.instances.append(instance)
@@ -157,7 +157,7 @@
 
     async def wait_ready(self, index: int = 0) -> None:
         """Wait until an instance serves and knows all backend servers."""
-        knowledge = self.instances[index].knowledge
+        knowledge = self.instances[index].replica
         await wait_for(
             lambda: (
                 self.instances[index].is_ready
--- a/tests/platform/test_cold.py
+++ b/tests/platform/test_cold.py
@@ -58,7 +58,7 @@
     async def case() -> None:
         async with open_site("p1", services=SERVICES) as site:
             cold = await site.add_backend("p2", cold_s=2.0)
-            await wait_for(lambda: "p2" in site.instances[0].knowledge.backends, 2.0)
+            await wait_for(lambda: "p2" in site.instances[0].replica.backends, 2.0)
             statuses = await press(site, 1.5)
             assert set(statuses) == {200}
             assert cold.count_peak_cold_arrivals() <= MOST
@@ -130,7 +130,7 @@
             server = site.backends[0]
             server.become_cold(3.0)
             site.store.put(BACKENDS, "p1", server.record | {"seq": 2})
-            cold = site.instances[0].knowledge.cold_servers
+            cold = site.instances[0].replica.cold_servers
             await wait_for(lambda: cold.names() == ["p1"], 2.0)
             await press(site, 1.0)
             assert server.count_peak_cold_arrivals() <= MOST
@@ -148,7 +148,7 @@
     async def case() -> None:
         async with open_site("p1@b", services=SERVICES) as site:
             server = site.backends[0]
-            knowledge = site.instances[0].knowledge
+            knowledge = site.instances[0].replica
             site.evacuate("b")
             await wait_for(lambda: knowledge.evacuations.domains, 2.0)
             server.become_cold(2.0)
@@ -183,7 +183,7 @@
             for id, left_ms in (("p1", 3e10), ("p2", -5000)):
                 backend = next(b for b in site.backends if b.id == id)
                 site.store.put(BACKENDS, id, backend.record | {"cold_left_ms": left_ms})
-            knowledge = site.instances[0].knowledge
+            knowledge = site.instances[0].replica
             await wait_for(lambda: knowledge.cold_servers.names() == ["p1"], 2.0)
             assert knowledge.cold_servers.left_s("p1", 0.0) < 1e9
             assert (await site.call("/safe/x")).status == 200
--- a/tests/platform/test_crashes.py
+++ b/tests/platform/test_crashes.py
@@ -154,7 +154,7 @@
     request that goes there is refused and costs a repeat, of which few are left here.
     """
     up = {backend.id for backend in site.backends if not backend.is_down}
-    await wait_for(lambda: all(set(i.knowledge.backends) == up for i in site.instances))
+    await wait_for(lambda: all(set(i.replica.backends) == up for i in site.instances))
 
 
 def holds(site: Site, index: int) -> bool:
--- a/tests/platform/test_evacuations.py
+++ b/tests/platform/test_evacuations.py
@@ -13,7 +13,7 @@
 
 async def wait_known(site: Site, *domains: str, index: int = 0) -> None:
     """Wait until an instance knows just these failure domains as evacuated."""
-    knowledge = site.instances[index].knowledge
+    knowledge = site.instances[index].replica
     await wait_for(lambda: knowledge.evacuations.domains == frozenset(domains), 2.0)
     await asyncio.sleep(0.15)
 
--- a/tests/platform/test_homes.py
+++ b/tests/platform/test_homes.py
@@ -76,7 +76,7 @@
         async with open_site("p1", **bind("nowhere")) as site:
             assert set(await ask(site)) == {503}
             site.configure(2, **bind("north", account=("south",)))
-            knowledge = site.instances[0].knowledge
+            knowledge = site.instances[0].replica
             await wait_for(
                 lambda: knowledge.table and knowledge.table.configuration.version == 2
             )
@@ -92,7 +92,7 @@
             assert set(await ask(site)) == {200}
             assert seen(site) == {"p1"}
             site.configure(2, **bind("south"))
-            knowledge = site.instances[0].knowledge
+            knowledge = site.instances[0].replica
             await wait_for(
                 lambda: knowledge.table and knowledge.table.configuration.version == 2
             )
--- a/tests/platform/test_instances.py
+++ b/tests/platform/test_instances.py
@@ -8,7 +8,7 @@
 
 from baobabthread.adapters.codec import PeerCodec
 from baobabthread.instance import tasks
-from baobabthread.instance.relaying import RELAY_MESSAGES, AskKnowledge
+from baobabthread.instance.replicasync import REPLICA_MESSAGES, ReplicaQuery
 from tests.platform.fakecallers import call
 from tests.platform.fakestore import OPERATORS
 from tests.platform.site import (
@@ -62,10 +62,8 @@
         async with open_site("p1") as site:
             site.store.fault = "busy"
             index = await site.add_instance("i2", ip="127.0.0.2")
-            await wait_for(
-                lambda: site.instances[index].knowledge.table is not None, 3.0
-            )
-            await wait_for(lambda: site.instances[index].knowledge.backends, 1.0)
+            await wait_for(lambda: site.instances[index].replica.table is not None, 3.0)
+            await wait_for(lambda: site.instances[index].replica.backends, 1.0)
             await asyncio.sleep(0.15)
             assert (await site.call("/open/x", index=index, key=None)).status == 200
 
@@ -107,7 +105,7 @@
             site.store.fault = "trickle"
             site.configure(7, routes=routes)
             await wait_for(
-                lambda: site.instances[0].knowledge.table.configuration.version == 7,
+                lambda: site.instances[0].replica.table.configuration.version == 7,
                 4.0,
             )
             site.store.fault = ""
@@ -129,14 +127,14 @@
     async def case() -> None:
         async with open_site("p1") as site:
             peers = site.instances[0].peers
-            codec = PeerCodec(types=RELAY_MESSAGES)
-            data = codec.encode("stranger", [AskKnowledge(sequence=1)])
+            codec = PeerCodec(types=REPLICA_MESSAGES)
+            data = codec.encode("stranger", [ReplicaQuery(sequence=1)])
             peers.datagram_received(data, ("127.0.0.1", 9))
             site.configure(3)
             await asyncio.sleep(0.6)
             await site.add_instance("i2", ip="127.0.0.2")
             await wait_for(lambda: len(peers.membership.alive()) == 2)
-            await wait_for(lambda: peers.relay.members == 2, 1.0)
+            await wait_for(lambda: peers.replica_sync.members == 2, 1.0)
 
     run(case())
 
@@ -167,7 +165,7 @@
                 await site.add_instance(f"i{number}", ip=f"127.0.0.{number}")
             for index in range(6):
                 await site.wait_ready(index)
-            relay = site.instances[0].peers.relay
+            relay = site.instances[0].peers.replica_sync
             await wait_for(lambda: relay.members == 6)
             site.store.fault = "busy"
             await asyncio.sleep(1.6)
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -253,7 +253,7 @@
         async with open_site("p1") as site:
             assert (await site.call("/safe/x")).status == 200
             site.configure(2, tenants=[{"name": "metro", "api_keys": ["other"]}])
-            table = site.instances[0].knowledge
+            table = site.instances[0].replica
             await wait_for(lambda: table.table.configuration.version == 2)
             assert (await site.call("/safe/x")).status == 401
 
@@ -290,7 +290,7 @@
             assert (await site.call("/safe/x")).status == 200
             site.configure(4, routes=make_configuration()["routes"][1:])
             await wait_for(
-                lambda: site.instances[0].knowledge.table.configuration.version == 4
+                lambda: site.instances[0].replica.table.configuration.version == 4
             )
             assert (await site.call("/safe/x")).status == 404
 
@@ -305,7 +305,7 @@
                 "keyed.servers", "p1", leaving.record | {"state": "draining"}
             )
             await wait_for(
-                lambda: site.instances[0].knowledge.backends["p1"].leaving, 2.0
+                lambda: site.instances[0].replica.backends["p1"].leaving, 2.0
             )
             await asyncio.sleep(0.2)
             before = len(leaving.seen)
--- a/tests/platform/test_restarts.py
+++ b/tests/platform/test_restarts.py
@@ -44,7 +44,7 @@
             old.close()
             new = await restart(site, "p1", started_ms=2)
             await wait_for(
-                lambda: site.instances[0].knowledge.backends["p1"].started_ms == 2, 2.0
+                lambda: site.instances[0].replica.backends["p1"].started_ms == 2, 2.0
             )
             await asyncio.sleep(0.1)
             assert (await site.call("/unsafe/x")).status == 200
@@ -62,7 +62,7 @@
             old.address = "127.0.0.1:9"
             late = {**old.record, "born": 1, "state": "draining"}
             end = site.store.put(BACKENDS, "p1", late)
-            await wait_for(lambda: site.instances[0].knowledge.backends_end > end, 2.0)
+            await wait_for(lambda: site.instances[0].replica.backends_end > end, 2.0)
             assert (await site.call("/unsafe/x")).status == 200
             assert len(new.seen) == 1
 
@@ -80,7 +80,7 @@
         async with open_site("p1", "p2") as site:
             store, other = site.store, site.backends[0]
             store.put(BACKENDS, "gone", other.record)
-            knowledge = site.instances[0].knowledge
+            knowledge = site.instances[0].replica
             await wait_for(lambda: "gone" in knowledge.backends, 2.0)
             for _ in range(40):
                 assert (await site.call("/unsafe/x")).status == 200
@@ -105,7 +105,7 @@
             store.put(BACKENDS, "x2", {"service": "plain", "address": 5})
             store.put(BACKENDS, "x3", {**other.record, "state": "resting"})
             store.put(BACKENDS, "p1", {"hello": "world"})
-            knowledge = site.instances[0].knowledge
+            knowledge = site.instances[0].replica
             await wait_for(lambda: set(knowledge.backends) == {"p2"}, 2.0)
             assert (await site.call("/unsafe/x")).status == 200
             assert len(other.seen) == 1
--- a/tests/platform/test_streams.py
+++ b/tests/platform/test_streams.py
@@ -169,7 +169,7 @@
 
 
 def make_flight(site: Site, session: str) -> RequestContext:
-    table = site.instances[0].knowledge.table
+    table = site.instances[0].replica.table
     assert table is not None
     route = table.match(HOST, "/stream/x")
     assert route is not None
