--- a/bench/_fleet.py
+++ b/bench/_fleet.py
@@ -111,11 +111,11 @@
         common: dict[str, Any] = {
             "store": self._fleet.store,
             "formats": Formats(),
-            "knowledge": self.knowledge,
+            "replica": self.knowledge,
             "metrics": self._fleet.metrics,
             "rng": random.Random(self._number),
-            "ask_peer": self.link.fetch_if_stale,
-            "relay": self.link.replica_sync,
+            "query_peer": self.link.fetch_if_stale,
+            "replica_sync": self.link.replica_sync,
         }
         works = (
             OperatorTopicReader(**common).run(),
--- a/soak/weakened.py
+++ b/soak/weakened.py
@@ -12,7 +12,7 @@
     connections,
     context,
     crashes,
-    endings,
+    errorresponses,
     events,
     restrictions,
 )
@@ -63,14 +63,14 @@
 @WEAKENED.register("refuse what ran")
 def refuse_what_ran(safeguard: Safeguard) -> None:
     """Promise that a request has not run though it may have."""
-    ask = endings.ErrorResponses._has_not_run
+    ask = errorresponses.ErrorResponses._has_not_run
 
-    def surely_not_run(
-        self: endings.ErrorResponses, flight: context.RequestContext
+    def has_not_run(
+        self: errorresponses.ErrorResponses, request: context.RequestContext
     ) -> bool:
-        return not safeguard.stands(not ask(self, flight))
+        return not safeguard.stands(not ask(self, request))
 
-    endings.ErrorResponses._has_not_run = surely_not_run  # type: ignore
+    errorresponses.ErrorResponses._has_not_run = has_not_run  # type: ignore
 
 
 @WEAKENED.register("repeat everything")
--- a/src/baobabthread/instance/__init__.py
+++ b/src/baobabthread/instance/__init__.py
@@ -1,1 +1,1 @@
-"""The process of one instance: its connections, feeds, listeners and life."""
+"""The process of one instance: its connections, topic readers, listeners and life."""
--- a/src/baobabthread/instance/canaries.py
+++ b/src/baobabthread/instance/canaries.py
@@ -97,19 +97,19 @@
 
     __slots__ = (
         "_alive",
-        "_answered",
-        "_leaders",
+        "_candidates",
         "_me",
-        "_needed_at",
-        "_repeated",
-        "_sent",
-        "_sent_at",
+        "_permit_needed_at",
+        "_permitted_at",
+        "_reports",
+        "_resent_at",
         "_send",
+        "_sent_at",
+        "_sent_reports",
         "_verdicts",
-        "_words",
         "find_permit",
-        "take_permit",
-        "take_verdict",
+        "handle_permit",
+        "handle_verdict",
     )
 
     def __init__(self, *, me: str, send: SendMessage) -> None:
@@ -133,7 +133,7 @@
         """Return what to permit about an order; nothing where this one can't tell."""
 
     def handle(self, sender: str, message: msgspec.Struct) -> None:
-        """Take in one of `TRIAL_MESSAGES`."""
+        """Take in one of `CANARY_MESSAGES`."""
         match message:
             case CanaryReport():
                 self.handle_report(sender, message)
--- a/src/baobabthread/instance/confirmation.py
+++ b/src/baobabthread/instance/confirmation.py
@@ -25,7 +25,13 @@
 class RolloutConfirmation:
     """Know how long ago the store told that a roll-out goes on."""
 
-    __slots__ = ("_asked", "_confirmed", "_formats", "_store", "_handle_final_status")
+    __slots__ = (
+        "_confirmed_at",
+        "_formats",
+        "_handle_final_status",
+        "_queried_at",
+        "_store",
+    )
 
     def __init__(
         self,
--- a/src/baobabthread/instance/errorresponses.py
+++ b/src/baobabthread/instance/errorresponses.py
@@ -72,7 +72,10 @@
             return
         not_run = self._has_not_run(context)
         status, what = (503, NOT_RUN) if not_run else (502, MAY_HAVE_RUN)
-        detail = f"{QUARANTINE_REASON} {what} {QUARANTINE_ADVICE.format(left_s=round(left_s))}"
+        detail = (
+            f"{QUARANTINE_REASON} {what} "
+            f"{QUARANTINE_ADVICE.format(left_s=round(left_s))}"
+        )
         await context.reply.reject(status, QUARANTINED_KIND, left_s, detail)
 
     async def reject(
--- a/src/baobabthread/instance/events.py
+++ b/src/baobabthread/instance/events.py
@@ -24,7 +24,7 @@
     part that had been passed on would join two pieces to one that nobody made.
     """
 
-    __slots__ = ("_last_forwarded", "_buffer")
+    __slots__ = ("_buffer", "_last_forwarded")
 
     def __init__(self, *, last_forwarded_id: str | None = None) -> None:
         self._last_forwarded = _parse_id(last_forwarded_id)
--- a/src/baobabthread/instance/process.py
+++ b/src/baobabthread/instance/process.py
@@ -332,11 +332,11 @@
         common: dict[str, Any] = {
             "store": self._store,
             "formats": self._formats,
-            "knowledge": self.replica,
+            "replica": self.replica,
             "metrics": self.metrics,
             "rng": self._rng,
-            "ask_peer": self.peers.fetch_if_stale,
-            "relay": self.peers.replica_sync,
+            "query_peer": self.peers.fetch_if_stale,
+            "replica_sync": self.peers.replica_sync,
         }
         return [
             OperatorTopicReader(**common).run,
--- a/src/baobabthread/instance/scheduler.py
+++ b/src/baobabthread/instance/scheduler.py
@@ -25,10 +25,10 @@
         "_error_responses",
         "_estimates",
         "_log",
+        "_pending",
         "_rng",
         "_sequence",
         "_services",
-        "_waiting",
     )
 
     def __init__(
--- a/src/baobabthread/instance/sessions.py
+++ b/src/baobabthread/instance/sessions.py
@@ -80,7 +80,7 @@
 
 
 class _UnacknowledgedReport:
-    __slots__ = ("message", "sent_at", "to", "created_at", "send_count")
+    __slots__ = ("created_at", "message", "send_count", "sent_at", "to")
 
     def __init__(self, *, to: str, message: SessionUseReport, moment: float) -> None:
         self.to = to
@@ -103,15 +103,15 @@
 
     __slots__ = (
         "_alive",
-        "_asked",
         "_find_plan",
-        "_handed",
         "_me",
+        "_notified_owners",
+        "_pending",
         "_renewed_at",
-        "_sequence",
+        "_reported_orders",
         "_send",
-        "_told",
-        "_unconfirmed",
+        "_sequence",
+        "_unacknowledged",
     )
 
     def __init__(self, *, me: str, send: SendMessage, find_plan: FindPlan) -> None:
--- a/src/baobabthread/instance/staleness.py
+++ b/src/baobabthread/instance/staleness.py
@@ -43,11 +43,11 @@
     """Say when this instance is stale, and remember who else said so of late."""
 
     __slots__ = (
-        "_heard",
-        "_received",
         "_number",
         "_publish",
         "_published_at",
+        "_received",
+        "_reports",
         "_was_stale",
     )
 
--- a/tests/instance/test_canaries.py
+++ b/tests/instance/test_canaries.py
@@ -9,7 +9,7 @@
 import pytest
 
 from baobabthread.core.rendezvous import rank
-from baobabthread.instance import trialdesk
+from baobabthread.instance import canaries
 from baobabthread.instance.canaries import (
     CANDIDATE_COUNT,
     CanaryCoordinator,
@@ -68,7 +68,7 @@
 @pytest.fixture
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
     clock = Clock()
-    monkeypatch.setattr(trialdesk, "now", clock)
+    monkeypatch.setattr(canaries, "now", clock)
     return clock
 
 
--- a/tests/instance/test_replicasync.py
+++ b/tests/instance/test_replicasync.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from baobabthread.instance import relaying
+from baobabthread.instance import replicasync
 from baobabthread.instance.replicasync import ReplicaQuery, ReplicaReply, ReplicaSync
 from baobabthread.routing.bounds import RoutingBounds
 from baobabthread.routing.configuration import BackendRecord
@@ -58,7 +58,7 @@
 @pytest.fixture
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
     clock = Clock()
-    monkeypatch.setattr(relaying, "now", clock)
+    monkeypatch.setattr(replicasync, "now", clock)
     return clock
 
 
--- a/tests/instance/test_staleness.py
+++ b/tests/instance/test_staleness.py
@@ -6,7 +6,7 @@
 import pytest
 
 from baobabthread.core.membership.messages import GossipPayload, MemberInfo
-from baobabthread.instance import readiness
+from baobabthread.instance import staleness
 from baobabthread.instance.staleness import (
     REPORT_INTERVAL_S,
     REPORT_TTL_S,
@@ -29,7 +29,7 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.time = 100.0
         self.words: list[GossipPayload] = []
-        monkeypatch.setattr(readiness, "now", lambda: self.time)
+        monkeypatch.setattr(staleness, "now", lambda: self.time)
         self.speaker = StalenessGossip(
             publish=self._publish, received=lambda topic: iter(())
         )
