--- a/src/baobabthread/routing/__init__.py
+++ b/src/baobabthread/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on requests whose bodies are opaque: routes, versions, models, limits."""
+"""Decisions on requests with opaque bodies: routes, versions, models and limits."""
--- a/src/baobabthread/routing/bounds.py
+++ b/src/baobabthread/routing/bounds.py
@@ -1,4 +1,4 @@
-"""Figures that the place of use sets for the decisions."""
+"""Bounds that the deployment sets for routing decisions."""
 
 from __future__ import annotations
 
@@ -6,35 +6,35 @@
 
 
 class RoutingBounds(msgspec.Struct, frozen=True, kw_only=True):
-    """Bound what the instances together may do; times are in seconds."""
+    """Bounds on what all instances together may do; times are in seconds."""
 
     revocation_s: float = 5.0
-    """Time after which a key that was taken away must not run anything."""
+    """Time after which a revoked key must no longer be accepted."""
     retry_ratio: float = 0.9
-    """Repeats that all instances may send for each request of a service."""
+    """Retries that all instances may send per request of a service."""
     retry_extra: float = 50.0
-    """Repeats that may come on top in one window."""
+    """Additional retries allowed per window."""
     retry_window_s: float = 10.0
-    """Length of each window, wherever it begins, in which the repeats are counted."""
+    """Length of the window over which retries are counted, wherever it begins."""
     exposure_share: float = 0.15
-    """Part of a service's requests that a bad version may get."""
+    """Fraction of a service's requests that a faulty version may receive."""
     exposure_extra: float = 0.0
-    """Requests that a bad version may get on top."""
+    """Additional requests that a faulty version may receive."""
     session_s: float = 5.0
-    """Pause after which a session's next request may go to another version."""
+    """Idle time after which a session's next request may go to another version."""
     grace_s: float = 8.0
-    """Time from the signal to stop until the process is ended."""
+    """Time from the stop signal until the process is killed."""
     max_lifetime_s: float = 5.0
-    """Longest time for which callers keep addresses."""
+    """Longest time for which callers cache addresses."""
     contact_s: float = 3.0
-    """Time for which the store must have been well to count as stable."""
+    """Time for which the store must have been available to count as stable."""
     apply_s: float = 2.0
-    """Time after which a new configuration must be in force everywhere."""
+    """Time after which a new configuration must be in force on all instances."""
     drain_s: float = 2.0
-    """Time after which a backend server that leaves must get nothing more."""
+    """Time after which a leaving backend server must get no more requests."""
     evacuation_s: float = 5.0
-    """Time after which an evacuated failure domain must get nothing more."""
+    """Time after which an evacuated failure domain must get no more requests."""
     cold_factor: float = 1.5
-    """Times the rate that a cold backend server bears which it may get in a second."""
+    """Multiple of its configured warm-up rate that a cold server may get per second."""
     cold_extra: float = 5.0
-    """Requests that may come on top in that second."""
+    """Additional requests that a cold server may get in that second."""
--- a/src/baobabthread/routing/budget.py
+++ b/src/baobabthread/routing/budget.py
@@ -1,4 +1,4 @@
-"""Repeats that one instance may send, so that the sum over all instances holds."""
+"""Retry budget of one instance, such that all instances together stay within bounds."""
 
 from __future__ import annotations
 
@@ -9,29 +9,31 @@
 from baobabthread.routing.bounds import RoutingBounds
 
 USABLE_FRACTION = 0.85
-"""Part of the common bound that is used; the rest is for what only some see."""
+"""Fraction of the common bound that is used; the rest covers what only some instances
+see."""
 SHARED_FRACTION = 0.25
-"""Part of the fixed bound that is divided, for views of the members that differ."""
+"""Fraction of the fixed bound that is divided among the instances, since their views of
+the membership may differ."""
 SINGLE_INSTANCE_FRACTION = 0.425
-"""Part of it that an instance takes to which settings name no other: killed and started
-again, it has that part twice within a window."""
+"""Fraction of the fixed bound used by an instance whose settings name no others. If it
+is killed and restarted, it spends that fraction twice within a window."""
 INITIAL_RETRIES = 1.0
-"""Repeats that are allowed on top of the ratio, but never more than requests."""
+"""Retries allowed in addition to the ratio, but never more than there were requests."""
 BUCKET_S = 0.1
-"""Time over which requests and repeats are counted together."""
+"""Time over which requests and retries are counted in one bucket."""
 
 
 STALL_S = 0.5
-"""Pause between two ticks from which on an instance has stood still."""
+"""Gap between two ticks from which on the process counts as stalled."""
 BACKLOG_S = 1.0
-"""Time after it in which requests are read that had come before."""
+"""Time after a stall within which requests that arrived during it are read."""
 
 
 class ArrivalEstimator:
-    """Tell when requests came that are read after an instance stood still.
+    """Estimates when requests arrived that are read after the process stalled.
 
-    Failure: an instance that was frozen reads all that came meanwhile in one moment.
-    Counted then, they allow repeats for a window in which nobody has sent them.
+    After a stall, all requests that arrived meanwhile are read at once. Counted at that
+    time, they would allow retries in a window in which they were not sent.
     """
 
     __slots__ = ("_backlog_until", "_stalled_at", "_ticked_at")
@@ -42,12 +44,12 @@
         self._backlog_until = 0.0
 
     def tick(self, now: float) -> None:
-        """Note that the instance runs; call it several times a second."""
+        """Record that the process runs; call this several times a second."""
         self._detect_stall(now)
         self._ticked_at = now
 
     def estimate_arrival(self, now: float) -> float:
-        """Return the earliest moment at which a request may have come."""
+        """Return the earliest time at which a request read now may have arrived."""
         self._detect_stall(now)
         return self._stalled_at if now < self._backlog_until else now
 
@@ -60,12 +62,12 @@
 
 class _Bucket(msgspec.Struct):
     at: float
-    """When the time that this counts began."""
+    """Start of the bucket."""
     number: int = 0
 
 
 class _SlidingWindow:
-    """Count what happened within a time that moves along."""
+    """Counter over a sliding window."""
 
     __slots__ = ("_buckets", "_length_s", "total")
 
@@ -75,7 +77,7 @@
         self.total = 0
 
     def add(self, now: float) -> None:
-        """Count one."""
+        """Count one event."""
         self.expire(now)
         if not self._buckets or now - self._buckets[-1].at >= BUCKET_S:
             self._buckets.append(_Bucket(at=now))
@@ -83,41 +85,49 @@
         self.total += 1
 
     def expire(self, now: float) -> None:
-        """Leave out what is too long ago."""
+        """Drop buckets that are older than the window."""
         while self._buckets and now - self._buckets[0].at >= self._length_s:
             self.total -= self._buckets.popleft().number
 
 
 class MemberCount:
-    """Follow among how many instances the fixed part of a bound is divided.
+    """Number of instances among which the fixed part of a bound is divided.
 
-    Failure: an instance that is cut off or has just started knows itself alone. It
-    would take all of the fixed part, and after each start once more.
+    An instance that is partitioned or has just started sees only itself. Without this
+    it would take the whole fixed part, and again after each restart.
     """
 
     __slots__ = ("_is_single", "_max_seen", "_settled_at")
 
     def __init__(self, *, is_single: bool, settled_at: float) -> None:
-        """Note whether there are no others, and when a whole window has passed."""
+        """Initialize the count.
+
+        `is_single` says that there are no other instances; `settled_at` is when a whole
+        window has passed since the start.
+        """
         self._is_single = is_single
         self._settled_at = settled_at
         self._max_seen = 1
 
     def record(self, count: int) -> None:
-        """Note how many serve, this one included; a loss may be this one's own cut."""
+        """Record how many instances serve, including this one.
+
+        The count never decreases: a loss of members may be a partition of this one.
+        """
         self._max_seen = max(self._max_seen, count)
 
     def compute_share(self, now: float) -> float:
-        """Return the part of the fixed bound that falls to this instance."""
+        """Return this instance's share of the fixed bound, from 0 to 1."""
         if self._max_seen > 1:
             return SHARED_FRACTION / self._max_seen if now >= self._settled_at else 0.0
         return SINGLE_INSTANCE_FRACTION if self._is_single else 0.0
 
 
 class RetryBudget:
-    """Allow as many repeats in each window as its requests and a fixed share allow.
+    """Budget of retries per window: a ratio of the requests plus a fixed share.
 
-    Each instance counts only what it sees itself, so that the sum holds without talk.
+    Each instance counts only its own requests and retries, so that the common bound
+    holds without communication.
     """
 
     __slots__ = ("_extra", "_members", "_ratio", "_requests", "_retries")
@@ -126,29 +136,29 @@
         self._ratio = bounds.retry_ratio * USABLE_FRACTION
         self._extra = bounds.retry_extra
         self._members = members
-        # A step is counted from its begin: requests are forgotten a step too early and
-        # repeats a step too late, so that neither errs to the other side.
+        # A bucket is dated by its start: requests expire up to one bucket too early and
+        # retries up to one bucket too late, so that rounding never exceeds the bound.
         self._requests = _SlidingWindow(length_s=bounds.retry_window_s - BUCKET_S)
         self._retries = _SlidingWindow(length_s=bounds.retry_window_s + BUCKET_S)
 
     def record_request(self, arrived_at: float) -> None:
-        """Note a request, whose repeats or others' may follow."""
+        """Count a request, which earns retries for any request."""
         self._requests.add(arrived_at)
 
     def remaining(self, now: float) -> float:
-        """Return how many repeats are left now."""
+        """Return how many retries are left."""
         self._retries.expire(now)
         return self.limit(now) - self._retries.total
 
     def limit(self, now: float) -> float:
-        """Return how many repeats were allowed if none had been sent."""
+        """Return how many retries are allowed in the current window."""
         self._requests.expire(now)
         requests = self._requests.total
         earned = min(requests, INITIAL_RETRIES + self._ratio * requests)
         return earned + self._extra * self._members.compute_share(now)
 
     def try_spend(self, now: float) -> bool:
-        """Take a repeat out of the budget; return whether there was one."""
+        """Take one retry from the budget; return whether one was left."""
         if self.remaining(now) < 1.0:
             return False
         self._retries.add(now)
--- a/src/baobabthread/routing/configuration.py
+++ b/src/baobabthread/routing/configuration.py
@@ -1,4 +1,4 @@
-"""What operators have in force: routes, services, client accounts, bounds."""
+"""Configuration in force: routes, services, client accounts and limits."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 import msgspec
 
 ANY_MODEL = "*"
-"""What callers send as the model where this side is to choose one."""
+"""Model name by which callers leave the choice of the model to the router."""
 
 
 class RequestKind(enum.StrEnum):
-    """Tell how often a request may run."""
+    """How often a request may run."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
     STREAM = "stream"
-    """An answer of events; resumable only where its route says so."""
+    """Response is an event stream; resumable only if its route says so."""
 
 
 class Target(msgspec.Struct, frozen=True, kw_only=True):
-    """Name a service that serves a route, and its part of the requests."""
+    """Service that serves a route, with its share of the requests."""
 
     service: str
     weight: float = 1.0
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """Describe the requests of one host below one path prefix."""
+    """Route for the requests to one host below one path prefix."""
 
     name: str
     host: str
@@ -36,63 +36,63 @@
     kind: RequestKind = msgspec.field(name="repeatability")
     targets: tuple[Target, ...]
     timeout_s: float
-    """Longest time until the final answer."""
+    """Longest time until the final response."""
     objective_s: float
-    """Time within which an answer has its full worth; for streams, its first event."""
+    """Time within which a response has its full value; for streams, the first event."""
     priority: int
-    """Rank among requests, 0 first."""
+    """Priority of its requests, 0 is highest."""
     max_attempts: int
     models: tuple[str, ...] = ()
-    """Models that may answer, smallest first; empty where the service has no choice."""
+    """Models that may answer, smallest first; empty if the service has only one."""
     public: bool = False
-    """Whether requests need no key of a client account."""
+    """Whether requests are accepted without the key of a client account."""
     has_prompts: bool = False
-    """Whether requests name the parts of their prompt, so that caches matter."""
+    """Whether requests name the parts of their prompt, for prompt cache affinity."""
     resumable: bool = False
     max_event_gap_s: float = msgspec.field(default=0.0, name="pause_s")
-    """Longest pause between events for an answer that is still in time."""
+    """Longest gap between two events of a stream that still meets the objective."""
     allowed_regions: tuple[str, ...] = msgspec.field(default=(), name="homes")
-    """Areas that its requests must not leave; empty where any will do."""
+    """Regions that its requests must not leave; empty for any region."""
 
     @property
     def may_retry(self) -> bool:
-        """Tell whether a request may run again after it may have run."""
+        """Whether a request may be retried after it may have run."""
         if self.kind is RequestKind.STREAM:
             return self.resumable
         return self.kind is RequestKind.IDEMPOTENT
 
     @property
     def is_stream(self) -> bool:
-        """Tell whether answers are streams of events."""
+        """Whether responses are event streams."""
         return self.kind is RequestKind.STREAM
 
 
 class ModelCost(msgspec.Struct, frozen=True, kw_only=True):
-    """Name a model of an engine and the price of 1,000 generated tokens."""
+    """Model of an engine, with the cost of 1,000 generated tokens."""
 
     name: str
     cost: float
 
 
 class ServiceConfiguration(msgspec.Struct, frozen=True, kw_only=True):
-    """Describe a service as operators configured it."""
+    """Service as configured by operators."""
 
     name: str
     max_connections: int
-    """Connections that one backend server takes from all callers together."""
+    """Connections that one backend server accepts in total."""
     capacity: int = 0
-    """Requests that one engine runs at once; 0 where only its record tells."""
+    """Requests that one engine runs concurrently; 0 if only its record has it."""
     memory_tokens: int = 0
-    """Tokens that one engine holds, running and kept ones; 0 where nothing tells."""
+    """Tokens that one engine holds, both running and cached; 0 if unknown."""
     models: tuple[ModelCost, ...] = ()
     warmup_s: float = msgspec.field(default=0.0, name="cold_s")
-    """Time for which one of its backend servers is cold after a start."""
+    """Warm-up time of one of its backend servers after a start."""
     warmup_rate: float = msgspec.field(default=0.0, name="cold_rate")
-    """Requests a second that a cold one bears; 0 where it makes no difference."""
+    """Requests per second that a cold backend server can serve; 0 for no limit."""
 
 
 class RequestLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Bound what a caller may send and how long a connection may be idle."""
+    """Limits on request sizes and on the idle time of callers' connections."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -100,18 +100,18 @@
 
 
 class Account(msgspec.Struct, frozen=True, kw_only=True):
-    """Describe a client account."""
+    """Client account."""
 
     name: str
     keys: tuple[str, ...]
     priority: int | None = None
-    """Rank of its requests, before that of the route."""
+    """Priority of its requests; overrides that of the route."""
     allowed_regions: tuple[str, ...] = msgspec.field(default=(), name="homes")
-    """Areas that its requests must not leave; empty where any will do."""
+    """Regions that its requests must not leave; empty for any region."""
 
 
 class RoutingConfiguration(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold one accepted configuration in full."""
+    """One complete, accepted configuration."""
 
     version: int
     routes: tuple[Route, ...]
@@ -121,7 +121,7 @@
 
 
 class BackendRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """Describe one start of a backend server."""
+    """Record of one start of a backend server."""
 
     id: str
     service: str
@@ -131,27 +131,30 @@
     capacity: int
     leaving: bool = False
     started_ms: int = 0
-    """Unix millisecond of its start; 0 where it tells none and its id is enough."""
+    """Unix time of its start in milliseconds; 0 if not given and its id is unique."""
     warmup_left_s: float = msgspec.field(default=0.0, name="cold_left_s")
-    """How much longer it is cold, from the moment at which this was told."""
+    """Remaining warm-up time, as of when the record was sent."""
 
     @property
     def incarnation(self) -> str:
-        """Name this start of it: a server that starts again under its id is another."""
+        """Name of this start; a server that restarts under the same id has another."""
         return f"{self.id}@{self.started_ms}" if self.started_ms else self.id
 
 
 class Evacuation(msgspec.Struct, frozen=True, kw_only=True):
-    """Ask that a failure domain's backend servers get nothing more, or take it back."""
+    """Start or end of an evacuation.
+
+    The backend servers of an evacuated failure domain get no new requests.
+    """
 
     number: int
-    """Position in the operators' log; a later word replaces an earlier one."""
+    """Position in the operators' log; a later record replaces an earlier one."""
     failure_domain: str
     is_on: bool
 
 
 class RolloutOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """Ask for a service's traffic to move to another version."""
+    """Order to move a service's traffic to another version."""
 
     number: int
     """Position in the operators' log; a later order replaces an earlier one."""
@@ -161,7 +164,7 @@
 
 
 class RolloutState(enum.StrEnum):
-    """Order the life of a roll-out."""
+    """State of a roll-out."""
 
     RUNNING = "running"
     SUCCEEDED = "succeeded"
@@ -169,12 +172,12 @@
 
 
 class RolloutStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Report how far a roll-out has come."""
+    """Progress of a roll-out."""
 
     service: str
     target: str
     state: RolloutState
     number: int = 0
-    """The order that it is about."""
+    """Number of the order that started the roll-out."""
     elapsed_s: float = 0.0
-    """Time since the order when this was written."""
+    """Time from the order until this status was written."""
--- a/src/baobabthread/routing/crashes.py
+++ b/src/baobabthread/routing/crashes.py
@@ -1,9 +1,8 @@
-"""Which request crashes backend servers, from which ones were there at each crash.
+"""Analysis of backend server crashes: finds the request that causes them.
 
-A server that crashes takes everything on it along, and what is tried again may meet the
-next crash as well. Only the request that explains a row of crashes is held: the one
-that was at each of them while no other one was. Whoever else was at all of them is
-told apart by the next crash.
+A crash fails all requests on the server, and innocent ones may be retried into the next
+crash. A request is only suspected if it alone was present at each of several crashes.
+If others were present at all of them too, the next crash tells them apart.
 """
 
 from __future__ import annotations
@@ -14,53 +13,54 @@
 import msgspec
 
 MIN_CRASHES = 3
-"""Crashes that one request must explain before it is held: two happen by chance where
-servers are lost in a row, and each one more costs callers another server."""
+"""Crashes that one request must explain before it is quarantined. Two coincide by
+chance when several servers are lost in a row, and each further one costs a server."""
 MIN_CRASHES_IF_AMBIGUOUS = 6
-"""Crashes from which all requests that were at each of them are held together. A good
-one does not come that far: its route bounds its tries, and it is answered at last."""
+"""Crashes from which on all requests present at each of them are quarantined together.
+An innocent request does not get that far: its route limits its attempts, and one of
+them succeeds."""
 SETTLE_S = 0.15
-"""Time from the first word of a crash until it counts: instances that find it later
-name more requests, and without them the wrong one could be the only one."""
+"""Time from the first report of a crash until it is analyzed. Instances that detect it
+later report more requests, without which the wrong one could be the only suspect."""
 RETENTION_S = 600.0
-"""Time for which a crash is evidence."""
+"""Time for which a crash is kept as evidence."""
 MAX_CRASHES = 128
-"""Crashes that are kept, the newest: twice the engines of one large service, some 2 MB
-at its judges where each had 128 requests on it."""
+"""Number of crashes kept, the newest ones: twice the engines of one large service. With
+128 requests on each that is some 2 MB at the service's owners."""
 
 FindDelay = Callable[[str], float]
-"""Return by how much longer this judge of a service waits than the first one."""
+"""Return by how many seconds this owner of a service waits longer than the first."""
 IsCanary = Callable[[str, str], bool]
-"""Tell whether a version of a service is on trial beside another one."""
+"""Return whether a version of a service is a canary beside another version."""
 
 
 class Crash(msgspec.Struct, frozen=True, kw_only=True, tag="crash.seen"):
-    """Tell which requests were on a backend server when it crashed."""
+    """Report of the requests that were on a backend server when it crashed."""
 
     backend: str
-    """Its incarnation."""
+    """Incarnation of the backend server."""
     service: str
     version: str
     is_proven: bool
-    """Whether its version answered requests of late, as far as the sender saw."""
+    """Whether the sender recently saw its version answer requests."""
     fresh: list[str]
-    """Fingerprints of those that began shortly before, or maybe not yet."""
+    """Fingerprints of requests that began shortly before, or may not have begun."""
     older: list[str]
-    """Fingerprints of those that had been running for a while."""
+    """Fingerprints of requests that had been running for a while."""
 
 
 class Suspect(msgspec.Struct, frozen=True, kw_only=True):
-    """Name a request that explains a row of crashes."""
+    """Request that explains a series of crashes."""
 
     fingerprint: str
     service: str
     versions: tuple[str, ...]
-    """Where it counts only while the service has no other version; else empty."""
+    """If not empty, it is only suspected while the service has no other versions."""
     backends: tuple[str, ...]
 
 
 class _Evidence:
-    """Hold a crash with the words of all instances about it."""
+    """Evidence on one crash, merged from the reports of all instances."""
 
     __slots__ = (
         "first_seen_at",
@@ -78,28 +78,28 @@
         self.version = crash.version
         self.is_proven = False
         self.is_counted = False
-        """Whether it was held against its version."""
+        """Whether it was counted against its version."""
         self.fresh: set[str] = set()
         self.older: set[str] = set()
 
     def add(self, crash: Crash) -> None:
-        """Take in one instance's word."""
+        """Merge one instance's report."""
         self.is_proven = self.is_proven or crash.is_proven
         self.fresh.update(crash.fresh)
         self.older.update(crash.older)
 
     @property
     def candidates(self) -> set[str]:
-        """Give the requests that may have caused it.
+        """Requests that may have caused the crash.
 
-        A request that crashes servers does so as it begins; one that ran for a while is
-        only looked at where nothing else was there.
+        A request that crashes servers does so as it begins; requests that ran for a
+        while are only considered if there were no others.
         """
         return self.fresh or self.older
 
 
 class CrashAnalysis:
-    """Keep crashes and find the requests that explain them."""
+    """Recent crashes, and the search for the requests that explain them."""
 
     __slots__ = ("_crashes", "_find_delay", "_pending")
 
@@ -109,23 +109,23 @@
         self._pending: set[str] = set()
 
     def record(self, crash: Crash, now: float) -> None:
-        """Take in one instance's word of a crash."""
-        seen = self._crashes.get(crash.backend)
-        if seen is None:
-            seen = self._crashes[crash.backend] = _Evidence(crash=crash, now=now)
-        seen.add(crash)
+        """Record one instance's report of a crash."""
+        evidence = self._crashes.get(crash.backend)
+        if evidence is None:
+            evidence = self._crashes[crash.backend] = _Evidence(crash=crash, now=now)
+        evidence.add(crash)
         self._pending.add(crash.backend)
         while len(self._crashes) > MAX_CRASHES:
             self._drop(next(iter(self._crashes)))
 
     def clear(self, fingerprint: str) -> None:
-        """Forget a request: it was answered whole."""
-        for seen in self._crashes.values():
-            seen.fresh.discard(fingerprint)
-            seen.older.discard(fingerprint)
+        """Discard a request as a suspect, after it was answered completely."""
+        for evidence in self._crashes.values():
+            evidence.fresh.discard(fingerprint)
+            evidence.older.discard(fingerprint)
 
     def is_due(self, now: float) -> bool:
-        """Tell whether crashes wait to be judged."""
+        """Return whether any crash is ready for analysis."""
         return any(self._is_settled(name, now) for name in self._pending)
 
     def find_suspects(
@@ -136,12 +136,12 @@
         previously_quarantined: Collection[str],
         is_canary: IsCanary,
     ) -> list[Suspect]:
-        """Return the requests that explain crashes which nothing held explains.
+        """Return the requests that explain crashes not explained by `quarantined`.
 
-        One crash is enough for a request that was held before and is at it again.
+        One crash is enough for a request that has been quarantined before.
         """
         for name in [
-            n for n, s in self._crashes.items() if now - s.first_seen_at > RETENTION_S
+            n for n, c in self._crashes.items() if now - c.first_seen_at > RETENTION_S
         ]:
             self._drop(name)
         settled = {name for name in self._crashes if self._is_settled(name, now)}
@@ -152,36 +152,36 @@
             if self._crashes[name].candidates.isdisjoint(quarantined)
         }
         self._exclude_bad_versions(unexplained)
-        found: list[Suspect] = []
+        suspects: list[Suspect] = []
         while True:
             suspect = self._find_suspect(unexplained, previously_quarantined, is_canary)
             if suspect is None:
-                return found
-            found.append(suspect)
+                return suspects
+            suspects.append(suspect)
             unexplained = {
-                n: p for n, p in unexplained.items() if suspect.fingerprint not in p
+                n: c for n, c in unexplained.items() if suspect.fingerprint not in c
             }
 
     def _is_settled(self, name: str, now: float) -> bool:
-        seen = self._crashes[name]
-        return now - seen.first_seen_at >= SETTLE_S + self._find_delay(seen.service)
+        crash = self._crashes[name]
+        return now - crash.first_seen_at >= SETTLE_S + self._find_delay(crash.service)
 
     def list_unproven_crashes(
         self, now: float, quarantined: Collection[str]
     ) -> list[tuple[str, str]]:
-        """Return service and version of crashes to hold against them, each one once.
+        """Return service and version of crashes to blame on them, each crash once.
 
-        These are crashes of versions that answered nobody of late, under requests that
-        aren't held: the version never works, or not any more.
+        These are crashes of versions without recent responses, under requests that
+        aren't quarantined: the version does not work, or no longer does.
         """
-        found = []
-        for name, seen in self._crashes.items():
-            if seen.is_counted or not self._is_settled(name, now):
+        unproven = []
+        for name, crash in self._crashes.items():
+            if crash.is_counted or not self._is_settled(name, now):
                 continue
-            seen.is_counted = True
-            if not seen.is_proven and seen.candidates.isdisjoint(quarantined):
-                found.append((seen.service, seen.version))
-        return found
+            crash.is_counted = True
+            if not crash.is_proven and crash.candidates.isdisjoint(quarantined):
+                unproven.append((crash.service, crash.version))
+        return unproven
 
     def _drop(self, name: str) -> None:
         self._crashes.pop(name)
@@ -190,13 +190,13 @@
     def _exclude_bad_versions(self, crashes: dict[str, set[str]]) -> None:
         """Drop crashes of versions that crash under different requests.
 
-        A version that never answers crashes under whatever it is given. Whether it or
-        the request is to blame shows only while it is always the same request.
+        A faulty version that never answers crashes under any request. A request can be
+        at fault only if it was present at all crashes of such a version.
         """
         by_version: dict[tuple[str, str], list[str]] = {}
         for name in crashes:
-            seen = self._crashes[name]
-            by_version.setdefault((seen.service, seen.version), []).append(name)
+            crash = self._crashes[name]
+            by_version.setdefault((crash.service, crash.version), []).append(name)
         for names in by_version.values():
             if any(self._crashes[name].is_proven for name in names):
                 continue
@@ -210,14 +210,16 @@
         previously_quarantined: Collection[str],
         is_canary: IsCanary,
     ) -> Suspect | None:
-        counts = Counter(f for present in crashes.values() for f in present)
+        counts = Counter(f for candidates in crashes.values() for f in candidates)
         for fingerprint, count in counts.most_common():
             if count < MIN_CRASHES and fingerprint not in previously_quarantined:
                 continue
-            names = [n for n, present in crashes.items() if fingerprint in present]
+            names = [
+                n for n, candidates in crashes.items() if fingerprint in candidates
+            ]
             common = set.intersection(*(crashes[name] for name in names))
-            alone = len(common) == 1 or fingerprint in previously_quarantined
-            if not alone and count < MIN_CRASHES_IF_AMBIGUOUS:
+            is_unambiguous = len(common) == 1 or fingerprint in previously_quarantined
+            if not is_unambiguous and count < MIN_CRASHES_IF_AMBIGUOUS:
                 continue
             if self._blames_canary(names, is_canary):
                 continue
@@ -225,16 +227,16 @@
         return None
 
     def _blames_canary(self, names: Iterable[str], is_canary: IsCanary) -> bool:
-        seen = [self._crashes[name] for name in names]
-        return all(is_canary(each.service, each.version) for each in seen)
+        involved = [self._crashes[name] for name in names]
+        return all(is_canary(crash.service, crash.version) for crash in involved)
 
     def _make_suspect(self, fingerprint: str, names: list[str]) -> Suspect:
-        seen = [self._crashes[name] for name in names]
-        is_proven = any(each.is_proven for each in seen)
-        versions = () if is_proven else tuple(sorted({each.version for each in seen}))
+        involved = [self._crashes[name] for name in names]
+        is_proven = any(crash.is_proven for crash in involved)
+        versions = () if is_proven else tuple(sorted({c.version for c in involved}))
         return Suspect(
             fingerprint=fingerprint,
-            service=seen[0].service,
+            service=involved[0].service,
             versions=versions,
             backends=tuple(names),
         )
--- a/src/baobabthread/routing/deltas.py
+++ b/src/baobabthread/routing/deltas.py
@@ -1,8 +1,8 @@
-"""What operators changed, as differences that one instance tells another.
+"""Deltas of the operators' state, exchanged among instances.
 
-A new configuration is mostly the one before with a key or a route more. Read by each
-instance from the store it is a call and some tens of kilobytes for each of hundreds;
-told as a difference it is a line in a message that is sent anyway.
+A new configuration usually differs from the previous one by a key or a route. Reading
+it from the store costs each of hundreds of instances a call and some tens of kilobytes;
+a delta is one line in a message that is sent anyway.
 """
 
 from __future__ import annotations
@@ -25,24 +25,24 @@
 )
 
 MAX_DELTAS = 16
-"""Steps that are kept: those of some seconds of quick changes."""
+"""Deltas kept, which covers some seconds of rapid changes."""
 MAX_DELTA_BYTES = 12_000
-"""Longest row of steps that is told. Twenty instances would get longer ones from one
-member on a slow link after seconds, and no datagram holds all."""
+"""Total size of the deltas sent to a peer. Larger ones would take seconds to reach
+twenty instances from one member on a slow link, and don't fit into a datagram."""
 
 T = TypeVar("T")
 
 
 class ConfigurationDelta(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell what makes one configuration out of another one."""
+    """Difference between two configurations."""
 
     before: int
-    """Version to which this is to be applied."""
+    """Version that the delta applies to."""
     after: int
     digest: int = msgspec.field(name="check")
-    """Digest of the result: one that differs is read from the store instead."""
+    """Digest of the result; on a mismatch the store is read instead."""
     routes: list[Route] = []
-    """Those that are new or changed."""
+    """Routes that are new or changed."""
     routes_removed: list[str] = msgspec.field(default_factory=list, name="routes_gone")
     accounts: list[Account] = []
     accounts_removed: list[str] = msgspec.field(
@@ -53,11 +53,11 @@
         default_factory=list, name="services_gone"
     )
     limits: RequestLimits | None = None
-    """Left out where they are the same."""
+    """None if unchanged."""
 
 
 class OperatorDelta(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell what changed between two offsets of the operators' log."""
+    """Changes between two offsets of the operators' log."""
 
     since: int
     end: int
@@ -67,7 +67,7 @@
 
 
 class OperatorState(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what operators want, as it was at one offset of their log."""
+    """The operators' state at one offset of their log."""
 
     configuration: RoutingConfiguration | None
     orders: dict[str, RolloutOrder]
@@ -75,16 +75,16 @@
 
 
 class DeltaLog:
-    """Keep the last steps, so that whoever is a little behind can be told them."""
+    """Recent deltas, to bring peers up to date that are slightly behind."""
 
     __slots__ = ("_deltas",)
 
     def __init__(self) -> None:
         self._deltas: deque[tuple[OperatorDelta, int]] = deque(maxlen=MAX_DELTAS)
-        """With the bytes that each takes."""
+        """Each with its encoded size in bytes."""
 
     def add(self, delta: OperatorDelta | None) -> None:
-        """Keep the step that follows the last one; none breaks the row."""
+        """Append the next delta; None marks a gap and clears the log."""
         size = len(msgspec.json.encode(delta)) if delta is not None else 0
         if delta is None or size > MAX_DELTA_BYTES:
             self._deltas.clear()
@@ -92,22 +92,22 @@
             self._deltas.append((delta, size))
 
     def list_since(self, offset: int) -> list[OperatorDelta]:
-        """Return the steps that lead on from an offset.
+        """Return the deltas that lead on from an offset.
 
-        None where they don't reach so far back, or are too long to be told.
+        Empty if the log doesn't reach back that far or the deltas are too large.
         """
-        found = [(step, size) for step, size in self._deltas if step.end > offset]
+        found = [(delta, size) for delta, size in self._deltas if delta.end > offset]
         if not found or found[0][0].since > offset:
             return []
         if sum(size for _, size in found) > MAX_DELTA_BYTES:
             return []
-        return [step for step, _ in found]
+        return [delta for delta, _ in found]
 
 
 def make_operator_delta(
     before: OperatorState, after: OperatorState, *, since: int, end: int
 ) -> OperatorDelta | None:
-    """Return what changed between two offsets; nothing where that can't be told."""
+    """Return the delta between two states; None if it can't be expressed."""
     change = None
     if after.configuration is not before.configuration:
         if before.configuration is None or after.configuration is None:
@@ -116,31 +116,35 @@
         if change is None:
             return None
     orders = [o for name, o in after.orders.items() if before.orders.get(name) != o]
-    words = [word for word in after.evacuations if word not in before.evacuations]
+    evacuations = [e for e in after.evacuations if e not in before.evacuations]
     return OperatorDelta(
-        since=since, end=end, configuration=change, orders=orders, evacuations=words
+        since=since,
+        end=end,
+        configuration=change,
+        orders=orders,
+        evacuations=evacuations,
     )
 
 
 def make_configuration_delta(
     before: RoutingConfiguration, after: RoutingConfiguration
 ) -> ConfigurationDelta | None:
-    """Return the difference of two configurations; nothing if it can't be told."""
+    """Return the difference of two configurations; None if it can't be expressed."""
     if not _has_unique_names(before) or not _has_unique_names(after):
         return None
-    routes, routes_gone = _diff(before.routes, after.routes, _route_key)
-    accounts, accounts_gone = _diff(before.accounts, after.accounts, _name)
-    services, services_gone = _diff(before.services, after.services, _name)
+    routes, routes_removed = _diff(before.routes, after.routes, _route_key)
+    accounts, accounts_removed = _diff(before.accounts, after.accounts, _name)
+    services, services_removed = _diff(before.services, after.services, _name)
     return ConfigurationDelta(
         before=before.version,
         after=after.version,
         digest=_digest(after),
         routes=routes,
-        routes_removed=routes_gone,
+        routes_removed=routes_removed,
         accounts=accounts,
-        accounts_removed=accounts_gone,
+        accounts_removed=accounts_removed,
         services=services,
-        services_removed=services_gone,
+        services_removed=services_removed,
         limits=after.limits if after.limits != before.limits else None,
     )
 
@@ -148,7 +152,7 @@
 def apply_configuration_delta(
     before: RoutingConfiguration, delta: ConfigurationDelta
 ) -> RoutingConfiguration | None:
-    """Return the configuration that a difference leads to, or nothing if it doesn't."""
+    """Return the changed configuration; None if the delta doesn't fit `before`."""
     if before.version != delta.before:
         return None
     after = RoutingConfiguration(
@@ -170,13 +174,13 @@
 
 
 def _has_unique_names(configuration: RoutingConfiguration) -> bool:
-    """Tell whether each part has a name that no other has: then order tells nothing."""
+    """Return whether all names are unique, so that the order carries no meaning."""
     names: list[list[str]] = [
         [_route_key(route) for route in configuration.routes],
         [account.name for account in configuration.accounts],
         [service.name for service in configuration.services],
     ]
-    return all(len(set(each)) == len(each) for each in names)
+    return all(len(set(group)) == len(group) for group in names)
 
 
 def _diff(
@@ -202,7 +206,7 @@
 
 
 def _digest(configuration: RoutingConfiguration) -> int:
-    """Return a number that configurations with the same parts in any order share."""
+    """Return a digest that doesn't depend on the order of routes and the like."""
     total = xxhash.xxh3_64_intdigest(
         msgspec.json.encode((configuration.version, configuration.limits))
     )
--- a/src/baobabthread/routing/directory.py
+++ b/src/baobabthread/routing/directory.py
@@ -1,4 +1,4 @@
-"""Which instances callers may connect to, and for how long."""
+"""Directory of the instances that callers may connect to."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from baobabthread.routing.regions import Regions
 
 ADDRESS_LIFETIME_S = 2.0
-"""How long callers keep addresses. Some keep them three times as long, which still
-ends before an instance that is told to stop is gone."""
+"""Lifetime of addresses at callers. Some callers keep them three times as long, which
+still ends before a stopping instance terminates."""
 MAX_ADDRESSES = 64
 MIN_ADDRESSES = 32
-"""Instances that callers of one failure domain are spread over at least. Those of their
-own come first; as many others are named as lack, other ones for each domain. With the
-first of all names for everybody, 32 of 195 instances got 10 requests a second each and
-half of them less than 1.7 (computed over all answers)."""
+"""Number of instances over which the callers of a failure domain are spread at least.
+Instances of their own domain come first; missing ones are filled up with others, a
+different choice for each domain. Filled up with the first by name for all domains, 32
+of 195 instances got 10 requests a second each and half of them less than 1.7."""
 MIN_READY_FRACTION = 0.5
-"""Part of the instances that must be ready for the others to be left out."""
+"""Fraction of the instances that must be ready for the others to be left out."""
 
 
 class AddressList(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer a caller's question for addresses."""
+    """Addresses of instances for a caller, and for how long it may keep them."""
 
     addresses: list[str]
     lifetime_s: float
@@ -42,29 +42,29 @@
     allowed_regions: frozenset[str] = frozenset(),
     regions: Regions | None = None,
 ) -> AddressList:
-    """Return the addresses of the instances that serve, near ones first.
+    """Return the addresses of serving instances, those of the caller's domain first.
 
-    `is_stale` tells which members said of late that they refuse keys; `area` is the
-    caller's and `homes` those in which the bodies of all callers may be read.
+    `is_stale` returns whether a member recently reported that it rejects keys. `region`
+    is the caller's, `allowed_regions` are those in which all bodies may be read.
     """
     if regions is not None:
-        able = [member for member in serving if member.name != me.name]
+        candidates = [member for member in serving if member.name != me.name]
         if is_ready:
-            able.append(me)
-        serving = _filter_by_region(able, region, allowed_regions, regions)
+            candidates.append(me)
+        serving = _filter_by_region(candidates, region, allowed_regions, regions)
         is_ready = is_ready and me in serving
     others = [member for member in serving if member.name != me.name]
     ready = [member for member in others if not is_stale(member)]
     if len(ready) < MIN_READY_FRACTION * len(others):
-        # The store is away, not they: it comes back for all in the same moment, and
-        # callers that know only the few that said so first would overrun those.
+        # The store is unavailable rather than these instances. It returns for all at
+        # once, and the few that report it first would be overloaded.
         ready = others
     if is_ready or not ready:
-        # With nobody else known this instance is the only one that may help.
+        # If no other instance is known, this one is the only choice.
         ready.append(me)
-    named = _choose_members(ready, failure_domain, responder=me.name)
+    chosen = _choose_members(ready, failure_domain, responder=me.name)
     return AddressList(
-        addresses=[member.address for member in named],
+        addresses=[member.address for member in chosen],
         lifetime_s=min(ADDRESS_LIFETIME_S, max_lifetime_s),
     )
 
@@ -75,15 +75,15 @@
     allowed_regions: frozenset[str],
     regions: Regions,
 ) -> Sequence[MemberInfo]:
-    """Leave out the instances that a caller's body must not be sent to.
+    """Leave out the instances that a caller's bodies must not be sent to.
 
-    Those of the caller's own area may read any; where none is left there, those at home
-    may. Without homes any instance is better than none.
+    Instances in the caller's own region may read any body; if there are none, those in
+    the allowed regions may. Failing both, any instance is better than none.
     """
     for allowed in (frozenset({region}), allowed_regions):
-        found = [m for m in serving if regions.find(m.failure_domain) in allowed]
-        if found:
-            return found
+        matching = [m for m in serving if regions.find(m.failure_domain) in allowed]
+        if matching:
+            return matching
     return serving
 
 
@@ -93,14 +93,14 @@
     near = [m for m in ready if m.failure_domain == failure_domain]
     far = [m for m in ready if m.failure_domain != failure_domain]
     if len(near) > MAX_ADDRESSES:
-        # Whoever is asked names others, so that none of them is left out by all.
+        # The choice depends on the responder, so that no instance is left out by all.
         near = _sample(near, MAX_ADDRESSES, key=responder)
-    # The same ones for all callers of a domain: each keeps fewer connections to
-    # backend servers open than if all sent everywhere.
-    lacking = max(0, MIN_ADDRESSES - len(near))
+    # All callers of a domain get the same remote instances, so that each instance keeps
+    # fewer connections to backend servers open.
+    missing = max(0, MIN_ADDRESSES - len(near))
     return [
         *_sort(near),
-        *_sort(_sample(far, lacking, key=failure_domain or responder)),
+        *_sort(_sample(far, missing, key=failure_domain or responder)),
     ]
 
 
--- a/src/baobabthread/routing/evacuations.py
+++ b/src/baobabthread/routing/evacuations.py
@@ -1,4 +1,4 @@
-"""Which failure domains operators evacuate: their backend servers get nothing new."""
+"""Failure domains that are evacuated: their backend servers get no new requests."""
 
 from __future__ import annotations
 
@@ -8,44 +8,45 @@
 
 
 class Evacuations:
-    """Hold the operators' newest word on each failure domain."""
+    """Newest evacuation record of each failure domain."""
 
     __slots__ = ("_latest", "domains")
 
     def __init__(self) -> None:
         self._latest: dict[str, Evacuation] = {}
         self.domains: frozenset[str] = frozenset()
-        """Failure domains that are evacuated now."""
+        """Failure domains that are currently evacuated."""
 
     def apply(self, evacuation: Evacuation) -> bool:
-        """Take over a word unless it is older; return whether it changes anything."""
-        # A late answer or a peer that is behind brings an earlier word on the same
-        # domain: one that was taken back and given again would be open to requests.
-        known = self._latest.get(evacuation.failure_domain)
-        if known is not None and evacuation.number <= known.number:
+        """Apply a record if it is newer; return whether the set of domains changed."""
+        # A late response or a peer that is behind may bring an older record: a domain
+        # whose evacuation was ended and started again would get requests.
+        current = self._latest.get(evacuation.failure_domain)
+        if current is not None and evacuation.number <= current.number:
             return False
         self._latest[evacuation.failure_domain] = evacuation
         before = self.domains
-        self.domains = frozenset(d for d, w in self._latest.items() if w.is_on)
+        self.domains = frozenset(d for d, e in self._latest.items() if e.is_on)
         return self.domains != before
 
     def apply_all(self, evacuations: Iterable[Evacuation]) -> bool:
-        """Take over what a peer knows; return whether it changes anything."""
-        taken = [self.apply(word) for word in evacuations]
-        return any(taken)
+        """Apply several records; return whether the set of domains changed."""
+        changes = [self.apply(evacuation) for evacuation in evacuations]
+        return any(changes)
 
     def reconcile(self, listed: Collection[str], end: int) -> bool:
-        """Take back what a list of all records up to an offset no longer holds.
+        """End evacuations that a listing of all records up to `end` does not contain.
 
-        The record that took it back is gone with the store's history: without this an
-        instance that was cut off meanwhile would leave the domain idle for good.
+        The record that ended them may have been trimmed from the store's history. An
+        instance that was partitioned meanwhile would otherwise never use the domain
+        again.
         """
         return self.apply_all(
             Evacuation(number=end - 1, failure_domain=domain, is_on=False)
-            for domain, word in list(self._latest.items())
-            if word.is_on and word.number < end - 1 and domain not in listed
+            for domain, latest in list(self._latest.items())
+            if latest.is_on and latest.number < end - 1 and domain not in listed
         )
 
     def list(self) -> list[Evacuation]:
-        """Return the newest word on each failure domain, those taken back as well."""
+        """Return the newest record of each failure domain, including ended ones."""
         return list(self._latest.values())
--- a/src/baobabthread/routing/fingerprints.py
+++ b/src/baobabthread/routing/fingerprints.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same one, at whichever instance they arrive."""
+"""Fingerprints that identify equal requests across instances."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 import hashlib
 
 DIGEST_BYTES = 12
-"""Length of a fingerprint, 16 characters on the wire. It is a cryptographic digest that
-begins with the account: no caller can make a request that passes for another one's."""
+"""Size of a fingerprint in bytes, 16 characters on the wire. It is a cryptographic
+digest that covers the account, so that no caller can forge another one's requests."""
 LENGTH_BYTES = 8
 
 
 def fingerprint(
     *, account: str, method: str, host: str, target: str, body: bytes
 ) -> str:
-    """Return the same text for requests of one account that ask for the same thing."""
+    """Return a fingerprint that is the same for equal requests of one account."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for text in (account, method, host.lower(), target):
         part = text.encode(errors="surrogatepass")
--- a/src/baobabthread/routing/mechanisms.py
+++ b/src/baobabthread/routing/mechanisms.py
@@ -1,4 +1,4 @@
-"""Names of the mechanisms that can be switched off, to measure what each is worth."""
+"""Mechanisms that can be disabled, to measure the effect of each one."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class Mechanism(enum.StrEnum):
-    """Name a mechanism of the decisions; all are in use unless switched off."""
+    """Mechanism of the routing decisions; all are in use unless disabled."""
 
     STAGED_MODELS = "staged-models"
-    """Begin with the smallest model; without it the largest one answers."""
+    """Begin with the smallest model; without this, the largest one answers."""
     LOAD_QUERIES = "loads"
-    """Ask the keepers of engines what waits there."""
+    """Query the owners of engines for their queued work."""
     MODEL_COST = "price"
-    """Ask larger models for less the longer prompts wait."""
+    """Use larger models for fewer requests as the waiting time of prompts grows."""
     ATTEMPT_TIMEOUT = "patience"
-    """Give up an attempt that is silent and try another backend server."""
+    """Abort an attempt that is silent and retry at another backend server."""
     PROMPT_AFFINITY = "homes"
-    """Keep prompts with a common part at one engine."""
+    """Send prompts that share a part to the same engine."""
 
 
 DisabledMechanisms = frozenset[Mechanism]
-"""The mechanisms that are switched off."""
+"""The mechanisms that are disabled."""
 NONE_DISABLED: DisabledMechanisms = frozenset()
--- a/src/baobabthread/routing/quarantine.py
+++ b/src/baobabthread/routing/quarantine.py
@@ -1,7 +1,7 @@
-"""Requests that are held back as backend servers crash under them.
+"""Quarantine of requests that crash backend servers.
 
-The list is the same at all instances in the end: whatever one learns it tells, and for
-one request the entry with the higher number wins, cleared before held.
+The list is eventually consistent: each instance publishes what it learns, and of two
+entries for one request the one of higher precedence wins, cleared over quarantined.
 """
 
 from __future__ import annotations
@@ -12,41 +12,41 @@
 import xxhash
 
 QUARANTINE_S = 600.0
-"""Time for which a request is held at first: long against its callers' patience, short
-enough that a service that was mended serves it again without anybody's help."""
+"""Time of the first quarantine of a request: longer than callers keep retrying, and
+short enough that a repaired service soon serves it again without intervention."""
 MAX_QUARANTINE_S = 86_400.0
-"""Longest such time; each time anew is twice as long as the one before."""
+"""Longest quarantine; each one lasts twice as long as the one before."""
 RELAPSE_WINDOW_S = 3600.0
-"""Time after it in which one crash is enough to hold the request again."""
+"""Time after a quarantine in which one crash is enough to quarantine again."""
 MERGE_CUTOFF_S = 10.0
-"""Time before an entry is forgotten in which it isn't taken over from others any more:
-two instances would otherwise bring it back to each other for ever."""
+"""Time before an entry is dropped from which on it is no longer accepted from peers:
+two instances would otherwise restore it at each other indefinitely."""
 MAX_ENTRIES = 128
-"""Entries that are kept, those that end last. Each one cost three servers first; all of
-them fit into one datagram, some 12 KB."""
+"""Number of entries kept, those that end last. Each one crashes three servers before it
+is added; all of them fit into one datagram, at some 12 KB."""
 
 
 FindVersions = Callable[[str], Collection[str]]
-"""Return the versions that a service has now."""
+"""Return the versions that a service currently has."""
 
 
 class QuarantineEntry(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Hold one request back, or let it go again."""
+    """Quarantine of one request, or its release."""
 
     fingerprint: str
     service: str
     times: int
-    """How often it was held, this time included."""
+    """How often it has been quarantined, including this time."""
     left_s: float
-    """Time for which it is held from now on; negative once that is over."""
+    """Remaining time of the quarantine; negative once it is over."""
     is_cleared: bool = False
-    """Whether it was answered whole after all."""
+    """Whether it was released after a complete response."""
     versions: tuple[str, ...] = ()
-    """Where not empty: only while the service has no other version than these."""
+    """If not empty, only in force while the service has no other versions."""
 
     @property
     def precedence(self) -> tuple[int, bool]:
-        """Give what orders the entries for one request; the highest one counts."""
+        """Order of the entries for one request; the highest one is in force."""
         return (self.times, self.is_cleared)
 
 
@@ -59,7 +59,7 @@
 
 
 class Quarantine:
-    """Keep which requests are held back, and merge what others know."""
+    """Quarantined requests of this instance, merged with those of its peers."""
 
     __slots__ = ("_digest", "_entries")
 
@@ -72,11 +72,11 @@
 
     @property
     def digest(self) -> int:
-        """Give a number that is the same where the same entries are known."""
+        """Digest of the entries; equal digests mean equal lists."""
         if self._digest is None:
             text = ",".join(
-                f"{name}/{entry.entry.times}/{entry.entry.is_cleared:d}"
-                for name, entry in sorted(self._entries.items())
+                f"{name}/{stored.entry.times}/{stored.entry.is_cleared:d}"
+                for name, stored in sorted(self._entries.items())
             )
             self._digest = xxhash.xxh3_64_intdigest(text.encode()) >> 1 if text else 0
         return self._digest
@@ -84,46 +84,46 @@
     def find(
         self, fingerprint: str, find_versions: FindVersions, now: float
     ) -> QuarantineEntry | None:
-        """Return how a request is held, if it is."""
-        entry = self._entries.get(fingerprint)
-        if entry is None or entry.entry.is_cleared or now >= entry.until:
+        """Return the entry by which a request is quarantined now, if any."""
+        stored = self._entries.get(fingerprint)
+        if stored is None or stored.entry.is_cleared or now >= stored.until:
             return None
-        only = entry.entry.versions
-        if only and not set(find_versions(entry.entry.service)) <= set(only):
+        versions = stored.entry.versions
+        if versions and not set(find_versions(stored.entry.service)) <= set(versions):
             return None
-        return _with_time_left(entry, now)
+        return _with_time_left(stored, now)
 
     def add(
         self, fingerprint: str, service: str, versions: tuple[str, ...], now: float
     ) -> QuarantineEntry:
-        """Hold a request, longer each time."""
-        before = self._entries.get(fingerprint)
-        times = 1 + (before.entry.times if before is not None else 0)
-        held = QuarantineEntry(
+        """Quarantine a request, longer each time, and return the entry."""
+        previous = self._entries.get(fingerprint)
+        times = 1 + (previous.entry.times if previous is not None else 0)
+        entry = QuarantineEntry(
             fingerprint=fingerprint,
             service=service,
             times=times,
             left_s=min(MAX_QUARANTINE_S, QUARANTINE_S * 2.0 ** min(times - 1, 16)),
             versions=versions,
         )
-        self.apply(held, now)
-        return held
+        self.apply(entry, now)
+        return entry
 
     def release(self, fingerprint: str, now: float) -> QuarantineEntry | None:
-        """Let a request go that was answered whole; return the entry that says so."""
-        entry = self._entries.get(fingerprint)
-        if entry is None or entry.entry.is_cleared:
+        """Release a request that was answered; return its entry, None if unchanged."""
+        stored = self._entries.get(fingerprint)
+        if stored is None or stored.entry.is_cleared:
             return None
-        cleared = msgspec.structs.replace(_with_time_left(entry, now), is_cleared=True)
+        cleared = msgspec.structs.replace(_with_time_left(stored, now), is_cleared=True)
         self.apply(cleared, now)
         return cleared
 
     def apply(self, entry: QuarantineEntry, now: float) -> bool:
-        """Take over an entry; return whether it is news."""
+        """Apply an entry if it takes precedence; return whether it did."""
         if entry.left_s < MERGE_CUTOFF_S - RELAPSE_WINDOW_S:
             return False
-        known = self._entries.get(entry.fingerprint)
-        if known is not None and known.entry.precedence >= entry.precedence:
+        current = self._entries.get(entry.fingerprint)
+        if current is not None and current.entry.precedence >= entry.precedence:
             return False
         until = now + min(entry.left_s, MAX_QUARANTINE_S)
         self._entries[entry.fingerprint] = _Stored(entry=entry, until=until)
@@ -134,42 +134,42 @@
         return True
 
     def expire(self, now: float) -> list[QuarantineEntry]:
-        """Drop the entries that are over; return them."""
-        over = [
+        """Drop entries whose relapse window is over and return them."""
+        expired = [
             name
-            for name, entry in self._entries.items()
-            if now - entry.until > RELAPSE_WINDOW_S
+            for name, stored in self._entries.items()
+            if now - stored.until > RELAPSE_WINDOW_S
         ]
-        dropped = [_with_time_left(self._entries.pop(name), now) for name in over]
+        dropped = [_with_time_left(self._entries.pop(name), now) for name in expired]
         if dropped:
             self._digest = None
         return dropped
 
     def get(self, fingerprint: str, now: float) -> QuarantineEntry | None:
-        """Return the entry for a request, also where it is over or cleared."""
-        entry = self._entries.get(fingerprint)
-        return None if entry is None else _with_time_left(entry, now)
+        """Return the entry for a request, even if it is over or cleared."""
+        stored = self._entries.get(fingerprint)
+        return None if stored is None else _with_time_left(stored, now)
 
     def list(self, now: float) -> list[QuarantineEntry]:
-        """Return all entries as they are now."""
-        return [_with_time_left(entry, now) for entry in self._entries.values()]
+        """Return all entries with their current remaining time."""
+        return [_with_time_left(stored, now) for stored in self._entries.values()]
 
     def quarantined(self, now: float) -> set[str]:
-        """Return the fingerprints of what is held."""
+        """Return the fingerprints of the requests that are quarantined now."""
         return {
             name
-            for name, entry in self._entries.items()
-            if now < entry.until and not entry.entry.is_cleared
+            for name, stored in self._entries.items()
+            if now < stored.until and not stored.entry.is_cleared
         }
 
     def previously_quarantined(self, now: float) -> set[str]:
-        """Return the fingerprints of what was held before and isn't any more."""
+        """Return the fingerprints of requests whose quarantine has run out."""
         return {
             name
-            for name, entry in self._entries.items()
-            if now >= entry.until and not entry.entry.is_cleared
+            for name, stored in self._entries.items()
+            if now >= stored.until and not stored.entry.is_cleared
         }
 
 
-def _with_time_left(entry: _Stored, now: float) -> QuarantineEntry:
-    return msgspec.structs.replace(entry.entry, left_s=round(entry.until - now, 2))
+def _with_time_left(stored: _Stored, now: float) -> QuarantineEntry:
+    return msgspec.structs.replace(stored.entry, left_s=round(stored.until - now, 2))
--- a/src/baobabthread/routing/replica.py
+++ b/src/baobabthread/routing/replica.py
@@ -1,8 +1,8 @@
-"""What an instance knows of the operators' will and of the backend servers.
+"""Local replica of the operators' state and of the backend server records.
 
-Knowledge has an age. It comes from the store or from a peer, never goes back, and
-requests with a key are refused once it is too old to rule out that the key was taken
-away.
+The replica is updated from the store or from a peer and never reverts to an older
+state. Its age is tracked: requests with a key are rejected once the replica is too old
+to rule out that the key has been revoked.
 """
 
 from __future__ import annotations
@@ -35,17 +35,18 @@
 
 NEVER_S = 1e9
 REVOCATION_MARGIN_S = 0.5
-"""Time kept from the bound on keys for clocks that drift and reads that are stamped
-late."""
+"""Safety margin below the revocation bound, for clock drift and reads that are
+timestamped late."""
 LAPSED_RECORD_GRACE_S = 2.2
-"""Time after the store is back in which entries that lapsed meanwhile return."""
+"""Time after an outage of the store within which records that lapsed during the outage
+are expected to reappear."""
 STORE_OUTAGE_GAP_S = 1.5
-"""Gap between two reads of the backend servers' records after which the store counts
-as having been away."""
+"""Gap between two reads of the backend server records from which on the store is taken
+to have been unavailable."""
 
 
 class StateReplica:
-    """Hold the newest configuration, orders and backend servers, and their age."""
+    """Replica of the configuration, orders, evacuations and backend servers."""
 
     __slots__ = (
         "_backends_read_at",
@@ -80,16 +81,16 @@
         self.backends: dict[str, BackendRecord] = {}
         self.operators_end = 0
         self.deltas = DeltaLog()
-        """How the operators' will came to be what it is, step by step."""
+        """Recent changes of the operators' state, for peers that are behind."""
         self._last_state = OperatorState(configuration=None, orders={}, evacuations=[])
         self.backends_end = 0
         self._change_log = ChangeLog()
         self._last_settled_end = 0
-        """Offset up to which it is decided who is gone."""
+        """Backend offset as of the last time at which no removal was pending."""
         self.on_update: Callable[[], None] = lambda: None
-        """Called whenever a read or a peer's word was taken in."""
+        """Called after each update from the store or from a peer."""
         self.revision = 0
-        """Rises whenever anything but ages has changed."""
+        """Incremented on each change of content; ages don't count."""
         self._backends_read_at = -NEVER_S
         self._lapsed_until: dict[str, float] = {}
         self._starts = NewestStarts()
@@ -98,9 +99,9 @@
     # -- operators --
 
     def apply_configuration(self, configuration: RoutingConfiguration) -> bool:
-        """Take over a configuration unless it is older; return whether it is newer."""
-        # A late answer or a peer that is behind must not bring a dropped route or a
-        # key back that was already taken away here.
+        """Apply a configuration if it is newer; return whether it was."""
+        # A late response or a peer that is behind must not restore a route that was
+        # removed or a key that was revoked.
         if self.table and configuration.version <= self.table.configuration.version:
             return False
         self.table = RoutingTable(configuration=configuration)
@@ -108,20 +109,20 @@
         return True
 
     def apply_order(self, order: RolloutOrder) -> bool:
-        """Take over an order unless it is older; return whether it is newer."""
-        known = self.orders.get(order.service)
-        if known is not None and order.number <= known.number:
+        """Apply a roll-out order if it is newer; return whether it was."""
+        current = self.orders.get(order.service)
+        if current is not None and order.number <= current.number:
             return False
         self.orders[order.service] = order
         self.revision += 1
         return True
 
     def apply_evacuation(self, evacuation: Evacuation) -> bool:
-        """Take over a word on a failure domain; return whether it changes anything."""
+        """Apply an evacuation record; return whether anything changed."""
         return self._record_change(self.evacuations.apply(evacuation))
 
     def reconcile_evacuations(self, listed: set[str], end: int) -> bool:
-        """Take back what a list of all records no longer holds; tell whether any."""
+        """End evacuations missing from a full listing; return whether any ended."""
         return self._record_change(self.evacuations.reconcile(listed, end))
 
     def _record_change(self, has_changed: bool) -> bool:
@@ -129,21 +130,19 @@
         return has_changed
 
     def record_operators_read(self, *, end: int, requested_at: float) -> None:
-        """Note that everything up to an offset was read by a question sent then."""
+        """Record a read of the operators' log to `end`, sent at `requested_at`."""
         self._advance_operators_end(end)
         self.freshness.read_head(head=end, started_at=requested_at)
         self.on_update()
 
     def apply_deltas(self, deltas: list[OperatorDelta]) -> None:
-        """Take over what operators changed, by a peer's word, as far as it fits."""
-        for step in deltas:
-            if step.since <= self.operators_end < step.end and not self._apply_delta(
-                step
-            ):
+        """Apply a peer's deltas in order, up to the first one that doesn't fit."""
+        for delta in deltas:
+            if delta.since <= self.operators_end < delta.end and not self._apply(delta):
                 return
 
-    def _apply_delta(self, delta: OperatorDelta) -> bool:
-        """Take over one step; return whether that led to its end."""
+    def _apply(self, delta: OperatorDelta) -> bool:
+        """Apply one delta; return whether its end offset was reached."""
         change = delta.configuration
         table = self.table
         if change is not None:
@@ -162,13 +161,13 @@
         return True
 
     def _advance_operators_end(self, end: int) -> None:
-        """Note that all up to an offset is known, and keep what changed since."""
+        """Advance the operators' offset and log the delta from the previous one."""
         if end > self.operators_end:
             before, self._last_state = self._last_state, self._operator_state()
-            step = make_operator_delta(
+            delta = make_operator_delta(
                 before, self._last_state, since=self.operators_end, end=end
             )
-            self.deltas.add(step)
+            self.deltas.add(delta)
             self.operators_end = end
         self.freshness.fold_to(end)
 
@@ -184,7 +183,7 @@
     def record_backends_read(
         self, *, end: int, requested_at: float, now: float
     ) -> None:
-        """Note that the backend servers' records were read up to an offset."""
+        """Record a read of the backend records to `end`, sent at `requested_at`."""
         if requested_at - self._backends_read_at > STORE_OUTAGE_GAP_S:
             self._grace_until = now + LAPSED_RECORD_GRACE_S
         self.backends_end = max(self.backends_end, end)
@@ -193,23 +192,23 @@
         self.on_update()
 
     def confirm_backends(self, *, end: int, read_at: float) -> None:
-        """Note a reader's word that nothing has changed up to an offset."""
+        """Record a reader's confirmation that nothing changed up to `end`."""
         self.backends_end = max(self.backends_end, end)
         self._backends_read_at = max(self._backends_read_at, read_at)
         self._update_settled_end()
 
     @property
     def backends_changed_at(self) -> int:
-        """Give the offset up to which reading last changed anything."""
+        """Offset of the last read that changed any backend server."""
         return self._change_log.newest
 
     @property
     def settled_end(self) -> int:
-        """Give the offset up to which others may take what they hear for all.
+        """Offset up to which peers may treat the published state as complete.
 
-        A server whose record lapsed is kept for a while and dropped later, at an offset
-        that was read before. Whoever was told that offset would never hear of the drop
-        and send work there for good.
+        A server whose record lapsed is kept for a grace period and removed later, at an
+        offset that has already been read. A peer that was given that offset would miss
+        the removal and keep sending requests to the server.
         """
         return self._last_settled_end if self._has_pending else self.backends_end
 
@@ -222,9 +221,10 @@
             self._last_settled_end = self.backends_end
 
     def apply_backend(self, record: BackendRecord) -> bool:
-        """Take over a backend server's record; return whether it changes anything."""
+        """Apply a backend server's record; return whether anything changed."""
         if record.warmup_left_s:
-            # Kept apart: it changes with each heartbeat, which is no news to others.
+            # Stored separately: it changes with each heartbeat, which peers don't need
+            # to be told.
             record = msgspec.structs.replace(record, warmup_left_s=0.0)
         self._lapsed_until.pop(record.id, None)
         known = self.backends.get(record.id)
@@ -232,15 +232,15 @@
             return False
         is_same_start = known is not None and known.started_ms == record.started_ms
         if known is not None and is_same_start and known.leaving and not record.leaving:
-            # Records of a peer may be older than what was read here: a start of a
-            # backend server that said it leaves never takes that back.
+            # A peer's records may be older than this replica. A backend server that has
+            # announced that it leaves never revokes that within the same start.
             return False
         self.backends[record.id] = record
         self._record_backend_change(record.id)
         return True
 
     def record_warmup(self, record: BackendRecord, left_s: float, now: float) -> bool:
-        """Note that a backend server is cold for so long; return whether it is news."""
+        """Record a cold server's warm-up time; return whether peers should be told."""
         is_known = self.backends.get(record.id)
         if is_known is None or is_known.incarnation != record.incarnation:
             return False
@@ -250,25 +250,25 @@
         return True
 
     def discard_backend(self, id: str) -> None:
-        """Drop a server at once whose newest record names none that could be used."""
+        """Remove a server immediately, as its newest record is unusable."""
         self._lapsed_until.pop(id, None)
         if self.backends.pop(id, None) is not None:
             self._record_backend_change(id)
 
     def remove_backend(self, id: str, now: float) -> None:
-        """Note that a backend server's record is gone."""
+        """Remove a server whose record is gone, after a grace period if in doubt."""
         if id not in self.backends:
             return
         if now < self._grace_until:
-            # Records lapse while the store is away. Dropping them would leave live
-            # servers without work, so they get the time to return.
+            # Records lapse while the store is unavailable. Removing them at once would
+            # leave live servers without requests, so they get time to reappear.
             self._lapsed_until.setdefault(id, self._grace_until)
             return
         del self.backends[id]
         self._record_backend_change(id)
 
     def replace_backends(self, records: list[BackendRecord], now: float) -> None:
-        """Take over a full list; what it lacks is gone."""
+        """Apply a full list of records; servers not listed are removed."""
         listed = {record.id for record in records}
         for id in [id for id in self.backends if id not in listed]:
             self.remove_backend(id, now)
@@ -280,13 +280,13 @@
         self.record_warmup(record, record.warmup_left_s, now)
 
     def expire_lapsed(self, now: float) -> None:
-        """Drop records that did not return in time."""
+        """Remove servers whose lapsed records did not reappear in time."""
         for id in [id for id, until in self._lapsed_until.items() if now >= until]:
             del self._lapsed_until[id]
             if self.backends.pop(id, None) is not None:
                 self._record_backend_change(id)
 
-    # -- changes told one by one --
+    # -- incremental changes --
 
     def apply_backend_changes(
         self,
@@ -297,9 +297,9 @@
         changed_at: int,
         now: float,
     ) -> None:
-        """Take over what a peer tells of all changes up to an offset.
+        """Apply a peer's complete list of changes up to `end`.
 
-        Those after it, up to `changed_at`, are some that it knows beyond.
+        Changes after `end`, up to `changed_at`, are included but may be incomplete.
         """
         for record in changed:
             self._apply_peer_record(record, now)
@@ -312,7 +312,7 @@
     def list_backend_changes(
         self, since: int, now: float, *, limit: int
     ) -> BackendChanges | None:
-        """Return what changed since an offset; nothing if that isn't known or long."""
+        """Return the changes since an offset; None if unknown or above `limit`."""
         ids = self._change_log.list_since(since, limit=limit)
         if ids is None:
             return None
@@ -336,38 +336,38 @@
         self._change_log.add(id)
 
     def _stamp_changes(self, at: int | None = None) -> None:
-        """Note that all that changed so far did so up to an offset, the end if none."""
+        """Assign pending changes to an offset; by default, to the backends' end."""
         self._change_log.record_read(self.backends_end if at is None else at)
         self._update_settled_end()
 
     # -- ages --
 
     def operators_age(self, now: float) -> float:
-        """Return the age in seconds of what is known of the operators' will."""
+        """Return the age of the operators' state in seconds."""
         return self.freshness.head_age(now)
 
     def backends_age(self, now: float) -> float:
-        """Return the age in seconds of the list of backend servers."""
+        """Return the age of the list of backend servers in seconds."""
         return now - self._backends_read_at
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether both the configuration and the backend servers are known."""
+        """Whether both the configuration and the backend servers are known."""
         return self.table is not None and self._backends_read_at > -NEVER_S
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether a key that is known now can't have been taken away too long."""
+        """Return whether the replica is recent enough to accept its keys."""
         return self.operators_age(now) <= self.freshness.bound_s
 
     def snapshot(self, now: float, *, known_end: int = 0) -> Snapshot:
-        """Return everything for a peer that has read so far itself."""
+        """Return the state for a peer that has the operators' log up to `known_end`."""
         table = self.table
-        news = table is not None and known_end < self.operators_end
+        is_newer = table is not None and known_end < self.operators_end
         return Snapshot(
             operators_end=self.operators_end,
             operators_age_s=self.operators_age(now),
-            configuration=table.configuration if table and news else None,
-            orders=list(self.orders.values()) if news else [],
+            configuration=table.configuration if table and is_newer else None,
+            orders=list(self.orders.values()) if is_newer else [],
             backends_end=self.settled_end,
             backends_age_s=self.backends_age(now),
             backends=[self._with_warmup(r, now) for r in self.backends.values()],
@@ -375,14 +375,14 @@
         )
 
     def merge(self, snapshot: Snapshot, *, requested_at: float, now: float) -> None:
-        """Take over what a peer knows better; the question was sent at `asked_at`."""
-        has_news = snapshot.configuration is not None
+        """Merge a peer's newer state; `requested_at` is when it was requested."""
+        has_configuration = snapshot.configuration is not None
         if snapshot.configuration is not None:
             self.apply_configuration(snapshot.configuration)
             for order in snapshot.orders:
                 self.apply_order(order)
         self._record_change(self.evacuations.apply_all(snapshot.evacuations))
-        if has_news or snapshot.operators_end <= self.operators_end:
+        if has_configuration or snapshot.operators_end <= self.operators_end:
             self.record_operators_read(
                 end=snapshot.operators_end,
                 requested_at=requested_at - snapshot.operators_age_s,
--- a/src/baobabthread/routing/snapshots.py
+++ b/src/baobabthread/routing/snapshots.py
@@ -1,4 +1,4 @@
-"""What one instance tells another one of all that it knows, or of what changed."""
+"""Messages that carry an instance's replica, in full or as changes."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold all that one instance knows, for another one that can't read the store."""
+    """Full replica of one instance, for a peer that can't read the store."""
 
     operators_end: int
-    """Where the operators' log was read to."""
+    """Offset up to which the operators' log was read."""
     operators_age_s: float
-    """Time since the read that showed nothing newer was sent."""
+    """Time since the last read that found nothing newer was sent."""
     configuration: RoutingConfiguration | None
-    """Left out where the one who asks has read as far."""
+    """None if the requesting peer has read as far."""
     orders: list[RolloutOrder]
     backends_end: int
     backends_age_s: float
     backends: list[BackendRecord]
     evacuations: list[Evacuation] = []
-    """The operators' newest word on each failure domain, those taken back as well."""
+    """The newest evacuation record of each failure domain, including ended ones."""
 
 
 class BackendChanges(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what became of the backend servers that changed since an offset."""
+    """Backend servers that changed or were removed since an offset."""
 
     changed: list[BackendRecord]
     removed: list[str]
--- a/src/baobabthread/routing/stopping.py
+++ b/src/baobabthread/routing/stopping.py
@@ -1,4 +1,4 @@
-"""What an instance that was told to stop still takes, and until when."""
+"""Schedule by which a stopping instance accepts and finishes requests."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 import msgspec
 
 ACCEPT_S = 6.5
-"""Time after the signal in which new connections are still taken: some callers keep
-addresses three times as long as they were told."""
+"""Time after the signal in which new connections are still accepted: some callers keep
+addresses three times as long as told."""
 SERVE_ALL_S = 2.5
-"""Time after the signal in which requests are taken by their usual length: callers hear
-of other addresses within the lifetime that they were told."""
+"""Time after the signal in which requests are accepted by their usual duration. Callers
+get other addresses within the lifetime that they were given."""
 SERVE_ALL_FRACTION = 1.0 / 3.0
-"""The same as a part of the grace, most of which is for what was taken."""
+"""The same, as a fraction of the grace period; the rest is for accepted requests."""
 END_MARGIN_S = 0.4
-"""Time kept from the end of the grace for closing."""
+"""Time reserved at the end of the grace period for closing."""
 ACCEPT_MARGIN_S = 0.5
-"""Time before the end in which no connection is opened any more."""
+"""Time before the end from which on no new connections are accepted."""
 LENGTH_FACTOR = 1.5
-"""Times the expected length of an answer that must be left. Callers' estimates of
-length are often far off: a stream that is cut at the end is worse than one that begins
-elsewhere at the price of another connection."""
+"""Multiple of the expected duration of a response that must be left. Callers' estimates
+of the length are often far off, and a stream that is cut at the end is worse than one
+that begins elsewhere at the cost of another connection."""
 LENGTH_MARGIN_S = 0.5
 STALL_S = 0.5
-"""Time between two beats, which come every tenth of a second, that is a standstill."""
+"""Time between two ticks, due every tenth of a second, that counts as a stall."""
 SIGNAL_DELAY_S = 0.5
-"""Time after a standstill in which a signal may have come within it."""
+"""Time after a stall within which a signal that arrived during it may be handled."""
 
 
 class StallDetector:
-    """Know since when a signal that is heard now may have been waiting."""
+    """Detects stalls of the process, during which signals may have been pending."""
 
     __slots__ = ("_stalled_from", "_stalled_until", "_ticked_at")
 
@@ -40,45 +40,45 @@
         self._stalled_until = -math.inf
 
     def tick(self, now: float) -> None:
-        """Note that the process runs."""
+        """Record that the process runs."""
         if now - self._ticked_at > STALL_S:
             self._stalled_from, self._stalled_until = self._ticked_at, now
         self._ticked_at = now
 
     def find_earliest_signal(self, now: float) -> float:
-        """Return when a signal that is heard now was sent at the earliest.
+        """Return the earliest time at which a signal handled now may have been sent.
 
-        After a standstill timers run before the handlers of signals: the last beat
-        alone would tell nothing.
+        After a stall, timers run before signal handlers, so that the last tick alone
+        does not reveal the stall.
         """
         self.tick(now)
         return self._stalled_from if now - self._stalled_until < SIGNAL_DELAY_S else now
 
 
 class StopPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the moments of a stop, in seconds on the clock of all decisions."""
+    """Times of a stop, in seconds on the instance's clock."""
 
     began_at: float
     serves_all_until: float
-    """Until then answers count with their usual length, afterwards with the longest."""
+    """Until then requests are accepted by their usual duration, then by the longest."""
     accepts_until: float
-    """Until then new connections are taken."""
+    """Until then new connections are accepted."""
     takes_until: float
-    """Moment by which whatever is taken must be answered."""
+    """Time by which accepted requests must be answered."""
     ends_at: float
-    """Moment until which what is in flight may go on."""
+    """Time until which requests in flight may continue."""
 
     def can_finish(self, *, usual_s: float, longest_s: float, now: float) -> bool:
-        """Tell whether an answer that begins now would be whole before the end."""
+        """Return whether a response that begins now would be complete in time."""
         expected_s = usual_s if now < self.serves_all_until else longest_s
         return now + LENGTH_FACTOR * expected_s + LENGTH_MARGIN_S < self.takes_until
 
 
 def plan_stop(*, grace_s: float, now: float, signalled_at: float) -> StopPlan:
-    """Return the moments of a stop that is heard of now.
+    """Return the times of a stop whose signal is handled now.
 
-    `earliest` is when the signal may have been sent: a process that stood still hears
-    of it late, and its grace counts from then.
+    `signalled_at` is the earliest time at which the signal may have been sent: a
+    process that stalled handles it late, and its grace period counts from then.
     """
     takes_until = signalled_at + grace_s - END_MARGIN_S
     serve_all_s = min(SERVE_ALL_S, SERVE_ALL_FRACTION * grace_s)
--- a/src/baobabthread/routing/table.py
+++ b/src/baobabthread/routing/table.py
@@ -1,4 +1,4 @@
-"""Look-up of routes, services and client accounts in the configuration in force."""
+"""Lookup of routes, services and client accounts in the configuration in force."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class RoutingTable:
-    """Answer which route and which client account a request belongs to."""
+    """Finds the route and the client account of a request."""
 
     __slots__ = ("_accounts", "_hosts", "common_regions", "configuration", "services")
 
     def __init__(self, *, configuration: RoutingConfiguration) -> None:
         self.configuration = configuration
         self.common_regions = find_common_regions(configuration)
-        """Areas in which all callers' bodies may be read; empty where any will do."""
+        """Regions in which all callers' bodies may be read; empty for any region."""
         self.services: dict[str, ServiceConfiguration] = {
             service.name: service for service in configuration.services
         }
@@ -35,11 +35,11 @@
 
     @property
     def needs_keys(self) -> bool:
-        """Tell whether requests need a key of a client account."""
+        """Whether requests need the key of a client account."""
         return bool(self.configuration.accounts)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the host's route with the longest prefix that begins the path."""
+        """Return the host's route with the longest matching path prefix."""
         prefixes = self._hosts.get(_strip_port(host).lower())
         if not prefixes:
             return None
@@ -56,7 +56,7 @@
         return None
 
     def authenticate(self, key: str | None) -> Account | None:
-        """Return the client account that holds a key."""
+        """Return the client account of a key, None if there is none."""
         return None if key is None else self._accounts.get(key)
 
 
@@ -66,7 +66,7 @@
 
 
 class Envelope(msgspec.Struct, kw_only=True):
-    """Hold what a request's headers say, decoded."""
+    """Decoded headers of a request."""
 
     request_id: str
     key: str | None = None
@@ -75,32 +75,32 @@
     model: str | None = None
     prompt_tokens: int = 0
     output_tokens: int = 0
-    """Most tokens that the answer may have."""
+    """Maximum number of tokens in the response."""
     expected_tokens: int = 0
-    """The caller's own estimate of them; 0 when it gave none."""
+    """The caller's estimate of the response's tokens; 0 if it gave none."""
     prompt_parts: tuple[PromptPart, ...] = ()
     last_event: str | None = None
-    """The last event that the caller has of an earlier stream."""
+    """The last event that the caller received of an earlier stream."""
 
     session: str | None = None
-    """Name of the conversation; its requests should keep their version."""
+    """Name of the session; its requests should stay on the same version."""
 
     @property
     def shared_part(self) -> str | None:
-        """Give the last part of the prompt that other requests have too.
+        """The last part of the prompt that other requests may share.
 
-        The very last one is this request's own, so that no cache can hold it.
+        The very last part is specific to this request, so that no cache holds it.
         """
         return self.prompt_parts[-2].id if len(self.prompt_parts) > 1 else None
 
     @property
     def shared_tokens(self) -> int:
-        """Give the tokens of the prompt that a cache may hold."""
+        """Number of tokens of the prompt that a cache may hold."""
         return sum(part.tokens for part in self.prompt_parts[:-1])
 
 
 class PromptPart(msgspec.Struct, frozen=True, kw_only=True):
-    """Name one part of a prompt; requests that share it share its cache."""
+    """One part of a prompt; requests that share it also share its cache entry."""
 
     id: str
     tokens: int
--- a/src/baobabthread/routing/warmup.py
+++ b/src/baobabthread/routing/warmup.py
@@ -1,9 +1,9 @@
-"""Backend servers that are cold after a start, and what each instance may send there.
+"""Warm-up of backend servers, and the requests that each instance may send meanwhile.
 
-A cold server bears few requests a second from all instances together and crashes under
-more. Instances can't agree on each request, so each one sends in windows of its own
-whose beginnings fall at random: what arrives in any second is then a random number with
-a known mean, also at instances that reach nobody.
+After a start, a cold server can serve few requests a second from all instances together
+and crashes under more. Instances can't coordinate on each request. Instead, each one
+sends in its own windows, which start at random times: the number of requests in any
+second is then random with a known mean, even if instances are partitioned.
 """
 
 from __future__ import annotations
@@ -15,29 +15,29 @@
 from baobabthread.core.requests.attempts import draw
 
 MAX_WARMUP_S = 30.0
-"""Longest time that a server is believed to stay cold: ten times the usual. A wrong
-figure would otherwise keep it out of use for good."""
+"""Upper bound on the warm-up time of a server, ten times the usual one. A wrong value
+would otherwise keep the server out of use indefinitely."""
 MIN_REPORTED_RISE_S = 0.5
-"""Rise of the time left that is worth telling: the same word arrives a little later
-by way of others."""
+"""Increase of the remaining time that is reported to peers. Smaller ones come from the
+same report arriving again, a little later, by way of other instances."""
 SEND_WINDOW_S = 0.25
-"""Length of a window. What was not sent in it is not made up for: instances that saved
-up would all send when a burst comes."""
+"""Length of a window. A request not sent in its window is not made up for: otherwise
+all instances would send their saved requests when a burst comes."""
 OVERRUN_PROBABILITY = 1e-6
-"""Chance that a second holds more requests than the bound, if all send all they may."""
+"""Probability that a second exceeds the bound if all instances use every window."""
 MEMBER_RETENTION_S = 7200.0
-"""Time for which a member counts that nobody hears of: areas lose each other for an
-hour now and then, and each side would take what the other one sends for its own."""
+"""Time for which a silent member is still counted. Regions are occasionally partitioned
+for an hour, and each side would otherwise use the other side's share as well."""
 ASSUMED_MEMBERS = 400
-"""Members that an instance reckons with until it has met the others: as many as the
-largest deployment that is planned has."""
+"""Number of members assumed until discovery is complete: that of the largest planned
+deployment."""
 DISCOVERY_S = 1.0
-"""Time since the last new member after which all are met: a member that answers tells
-of all that it knows."""
+"""Time without a new member after which discovery is complete; a member that answers
+names all members that it knows."""
 
 
 class ColdServers:
-    """Know which starts of backend servers are cold, and for how much longer."""
+    """Backend servers that are cold, by incarnation, and until when."""
 
     __slots__ = ("_until",)
 
@@ -45,26 +45,26 @@
         self._until: dict[str, float] = {}
 
     def record(self, name: str, left_s: float, now: float) -> bool:
-        """Note that a start is cold for so long; return whether that is news."""
+        """Record the remaining warm-up time; return whether it should be reported."""
         left_s = min(left_s, MAX_WARMUP_S)
         if left_s <= 0.0:
             return False
         before = self._until.get(name, now)
-        # Never shortened: a record that was written before it turned cold again may
-        # arrive later than the one that says so.
+        # Never shortened: a record written before the server became cold again may
+        # arrive after the one that reports it.
         self._until[name] = max(before, now + left_s)
         return now + left_s > max(before, now) + MIN_REPORTED_RISE_S or before <= now
 
     def left_s(self, name: str, now: float) -> float:
-        """Return how much longer a start is cold; 0 where it isn't."""
+        """Return the remaining warm-up time; 0 if the server is warm."""
         return max(0.0, self._until.get(name, now) - now)
 
     def names(self) -> list[str]:
-        """Return the starts that were cold when they were last looked at."""
+        """Return the incarnations not yet dropped as warm."""
         return list(self._until)
 
     def drop_warm(self, now: float) -> list[str]:
-        """Forget those that are warm by now and return them."""
+        """Drop the servers that are warm by now and return them."""
         warm = [name for name, until in self._until.items() if until <= now]
         for name in warm:
             del self._until[name]
@@ -72,7 +72,7 @@
 
 
 class SenderCount:
-    """Count the instances that may send, also those that are silent or unknown."""
+    """Number of instances that may send, including silent and undiscovered ones."""
 
     __slots__ = ("_grown_at", "_is_discovered", "_last_seen")
 
@@ -82,7 +82,7 @@
         self._is_discovered = False
 
     def record(self, names: Iterable[str], now: float) -> None:
-        """Note which members are known now, in any state."""
+        """Record the members currently known, in any state."""
         before = len(self._last_seen)
         for name in names:
             self._last_seen[name] = now
@@ -91,9 +91,9 @@
             self._forget_silent(now)
 
     def count(self, now: float) -> int:
-        """Return how many instances to reckon with."""
-        # Failure: all start at once and each one takes itself for the only member. The
-        # servers that start with them would get the whole rate from each.
+        """Return how many instances to assume."""
+        # When all instances start at once, each one sees only itself. Without the
+        # assumed minimum, cold servers would get the whole rate from each of them.
         if not self._is_discovered and self._grown_at is not None:
             self._is_discovered = now - self._grown_at >= DISCOVERY_S
         return (
@@ -110,7 +110,7 @@
 
 
 class SendWindows:
-    """Tell when this instance may send one request to a cold server."""
+    """Windows in which this instance may send one request to a cold server."""
 
     __slots__ = ("_me", "_used")
 
@@ -119,48 +119,48 @@
         self._used: dict[str, int] = {}
 
     def is_open(self, name: str, interval_s: float, now: float) -> bool:
-        """Tell whether a request may go there now."""
+        """Return whether a request may be sent to a server now."""
         number, passed_s = self._locate(name, interval_s, now)
         return (
             passed_s < min(SEND_WINDOW_S, interval_s) and self._used.get(name) != number
         )
 
     def mark_used(self, name: str, interval_s: float, now: float) -> None:
-        """Note that the request of this window was sent."""
+        """Record that the request of the current window was sent."""
         self._used[name], _ = self._locate(name, interval_s, now)
 
     def forget(self, name: str) -> None:
-        """Forget a server that is warm or gone."""
+        """Drop the state of a server that is warm or removed."""
         self._used.pop(name, None)
 
     def _locate(self, name: str, interval_s: float, now: float) -> tuple[int, float]:
-        """Return the number of the present window and the time since it began."""
-        # Drawn from both names: windows of one instance at many servers, and of many
-        # instances at one, begin at unlike times without a word among them.
+        """Return the number of the current window and the time since its start."""
+        # The phase is derived from both names, so that windows start at different times
+        # for each pair of instance and server without coordination.
         position = now - draw(self._me, name) * interval_s
         number = math.floor(position / interval_s)
         return number, position - number * interval_s
 
 
 def compute_interval_s(*, max_per_s: float, members: int) -> float:
-    """Return the time between two windows of one instance at one cold server.
+    """Return the time between two windows of one instance for one cold server.
 
-    `most` are the requests that the server may get in any second from all members.
+    `max_per_s` is how many requests the server may get in any second from all members.
     """
     return members / compute_window_rate(max_per_s)
 
 
 @functools.lru_cache
 def compute_window_rate(max_per_s: float) -> float:
-    """Return the windows a second, of all members, that keep a server's bound.
+    """Return the windows per second, of all members, that keep a server's bound.
 
-    A second touches the windows that begin in it or up to a window's length before.
+    A second overlaps the windows that start in it or up to a window's length before.
     """
     return _find_poisson_mean(math.floor(max_per_s)) / (1.0 + SEND_WINDOW_S)
 
 
 def _find_poisson_mean(limit: int) -> float:
-    """Return the mean of a Poisson draw that exceeds a number as seldom as allowed."""
+    """Return the Poisson mean at which `limit` is exceeded with allowed probability."""
     low, high = 0.0, float(max(1, limit))
     for _ in range(50):
         middle = (low + high) / 2.0
@@ -172,11 +172,11 @@
 
 
 def _poisson_tail(mean: float, limit: int) -> float:
-    """Return the chance that a Poisson draw with a mean is above a number."""
+    """Return the probability that a Poisson variable exceeds `limit`."""
     term = math.exp(-mean)
     for k in range(1, limit + 1):
         term *= mean / k
-    # Summed from the tail: 1 less the sum of the rest would lose all digits.
+    # The tail is summed directly: one minus the rest would lose all precision.
     total = 0.0
     for k in range(limit + 1, limit + 200):
         term *= mean / k
