--- a/tests/routing/test_budget.py
+++ b/tests/routing/test_budget.py
@@ -1,4 +1,4 @@
-"""Tests that repeats stay within the common bound without talk among instances."""
+"""Tests that retries stay within the common bound without coordination."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 BOUNDS = RoutingBounds(retry_ratio=0.9, retry_extra=52, retry_window_s=10.0)
 MANY = RoutingBounds(retry_ratio=0.9, retry_extra=430, retry_window_s=10.0)
-"""Those of an installation of two hundred instances."""
-DAY_S = 40.0
+"""Bounds of a deployment of two hundred instances."""
+RUN_S = 40.0
 
 
 def make_budget(
     bounds: RoutingBounds, *, known: int = 1, started_at: float = -100.0
 ) -> RetryBudget:
-    """Return the budget of an instance that has seen so many members."""
+    """Return the budget of an instance that has seen `known` members."""
     members = MemberCount(
         is_single=False, settled_at=started_at + bounds.retry_window_s
     )
@@ -34,19 +34,19 @@
     return RetryBudget(bounds=bounds, members=members)
 
 
-class Played(msgspec.Struct):
-    """Hold when requests came and when repeats were sent, each in order."""
+class Outcome(msgspec.Struct):
+    """Times of requests and of retries, each in order."""
 
     requests: list[float]
-    repeats: list[float]
+    retries: list[float]
 
 
 class Traffic(msgspec.Struct, frozen=True):
-    """Describe how the rate of requests changes over a day."""
+    """Course of the request rate over a run."""
 
     name: str
     rates: tuple[float, ...]
-    """Requests a second of an instance, in steps of two seconds, over and over."""
+    """Requests per second of an instance, in steps of two seconds, repeated."""
 
 
 TRAFFIC = (
@@ -57,178 +57,182 @@
 )
 
 
-def play(traffic: Traffic, *, entries: int, rng: random.Random) -> Played:
-    """Let instances repeat all they may, each in moods of its own."""
-    played = Played(requests=[], repeats=[])
-    for _ in range(entries):
-        _play_instance(traffic, entries=entries, rng=rng, played=played)
-    played.requests.sort()
-    played.repeats.sort()
-    return played
+def simulate(traffic: Traffic, *, instances: int, rng: random.Random) -> Outcome:
+    """Simulate instances that use their whole budget at random times."""
+    outcome = Outcome(requests=[], retries=[])
+    for _ in range(instances):
+        _simulate_instance(traffic, instances=instances, rng=rng, outcome=outcome)
+    outcome.requests.sort()
+    outcome.retries.sort()
+    return outcome
 
 
-def _play_instance(
-    traffic: Traffic, *, entries: int, rng: random.Random, played: Played
+def _simulate_instance(
+    traffic: Traffic, *, instances: int, rng: random.Random, outcome: Outcome
 ) -> None:
-    budget = make_budget(BOUNDS, known=entries)
-    restarts_at = rng.choice((DAY_S, rng.uniform(0.0, DAY_S)))
-    mood_until = 0.0
-    is_eager = False
-    moment = 0.0
-    while moment < DAY_S:
-        rate = traffic.rates[int(moment / 2.0) % len(traffic.rates)]
-        moment += rng.expovariate(max(rate, 0.5))
-        if moment >= restarts_at:
-            budget = make_budget(BOUNDS, known=entries, started_at=moment)
-            restarts_at = DAY_S
-        if moment >= mood_until:
-            mood_until = moment + rng.uniform(0.5, 6.0)
-            is_eager = rng.random() < 0.6
+    budget = make_budget(BOUNDS, known=instances)
+    restarts_at = rng.choice((RUN_S, rng.uniform(0.0, RUN_S)))
+    phase_until = 0.0
+    is_retrying = False
+    now = 0.0
+    while now < RUN_S:
+        rate = traffic.rates[int(now / 2.0) % len(traffic.rates)]
+        now += rng.expovariate(max(rate, 0.5))
+        if now >= restarts_at:
+            budget = make_budget(BOUNDS, known=instances, started_at=now)
+            restarts_at = RUN_S
+        if now >= phase_until:
+            phase_until = now + rng.uniform(0.5, 6.0)
+            is_retrying = rng.random() < 0.6
         if rate:
-            budget.record_request(moment)
-            played.requests.append(moment)
-        while is_eager and budget.try_spend(moment):
-            played.repeats.append(moment)
+            budget.record_request(now)
+            outcome.requests.append(now)
+        while is_retrying and budget.try_spend(now):
+            outcome.retries.append(now)
 
 
-def find_excess(played: Played, bounds: RoutingBounds = BOUNDS) -> float:
-    """Return by how much some window exceeds the bound; below 0 where none does.
+def find_excess(outcome: Outcome, bounds: RoutingBounds = BOUNDS) -> float:
+    """Return by how much some window exceeds the bound; negative if none does.
 
-    The requests are those of the window, of the one before it or of the one half a
-    window before it, whichever has most.
+    The bound counts the requests of the window, of the one before it or of the one half
+    a window before it, whichever has most.
     """
     length = BOUNDS.retry_window_s
 
-    def count(moments: list[float], begin: float) -> int:
+    def count(times: list[float], begin: float) -> int:
         end = begin + length
-        return bisect.bisect_left(moments, end) - bisect.bisect_left(moments, begin)
+        return bisect.bisect_left(times, end) - bisect.bisect_left(times, begin)
 
     worst = -1e9
-    for begin in played.repeats:
+    for begin in outcome.retries:
         begins = (begin, begin - length, begin - length / 2)
-        requests = max(count(played.requests, at) for at in begins)
+        requests = max(count(outcome.requests, at) for at in begins)
         allowed = bounds.retry_ratio * requests + bounds.retry_extra
-        worst = max(worst, count(played.repeats, begin) - allowed)
+        worst = max(worst, count(outcome.retries, begin) - allowed)
     return worst
 
 
-class View(msgspec.Struct, frozen=True, kw_only=True):
-    """Describe what an instance lives through."""
+class Scenario(msgspec.Struct, frozen=True, kw_only=True):
+    """What an instance sees of the membership, and its restarts and stalls."""
 
     name: str
     known: int = 1
-    """Most members that it ever saw, itself included; below 0 a part of all."""
+    """Most members that it ever saw, including itself; -n for one n-th of all."""
     starts: tuple[float, ...] = ()
-    """Seconds after a common moment at which it starts anew."""
+    """Times of its restarts, in seconds after a time common to all instances."""
     frozen_s: float = 0.0
-    """Time from that moment for which it stands still; what came waits."""
+    """Length of its stall from that time on, during which its requests wait."""
 
 
-VIEWS = (
-    View(name="alone since its start"),
-    View(name="cut off with half of them since its start", known=-2),
-    View(name="cut off later", known=-1),
-    View(name="just started", known=-1, starts=(0.0,)),
-    View(name="started three times in a window", known=-1, starts=(0.0, 3.0, 6.0)),
-    View(name="frozen", known=-1, frozen_s=6.0),
+SCENARIOS = (
+    Scenario(name="alone since its start"),
+    Scenario(name="cut off with half of them since its start", known=-2),
+    Scenario(name="cut off later", known=-1),
+    Scenario(name="just started", known=-1, starts=(0.0,)),
+    Scenario(name="started three times in a window", known=-1, starts=(0.0, 3.0, 6.0)),
+    Scenario(name="frozen", known=-1, frozen_s=6.0),
 )
 TICK_S = 0.1
 DEMAND_S = 3.0
-"""Time within which a request asks for its repeats."""
-
-
-def play_views(
-    views: list[View], *, rate: float, bounds: RoutingBounds, rng: random.Random
-) -> Played:
-    """Let every answer fail, so that each request asks for two repeats."""
-    played = Played(requests=[], repeats=[])
-    moment_of_all = rng.uniform(5.0, 25.0)
-    for view in views:
-        if view.known < 0:
-            known = max(1, len(views) // -view.known)
-            view = msgspec.structs.replace(view, known=known)
-        _play_view(view, moment_of_all, rate, bounds, rng, played)
-    played.requests.sort()
-    played.repeats.sort()
-    return played
-
-
-def _play_view(
-    view: View,
-    moment_of_all: float,
+"""Time within which a request needs its retries."""
+
+
+def simulate_scenarios(
+    scenarios: list[Scenario], *, rate: float, bounds: RoutingBounds, rng: random.Random
+) -> Outcome:
+    """Simulate instances at which all attempts fail and requests need two retries."""
+    outcome = Outcome(requests=[], retries=[])
+    common_time = rng.uniform(5.0, 25.0)
+    for scenario in scenarios:
+        if scenario.known < 0:
+            known = max(1, len(scenarios) // -scenario.known)
+            scenario = msgspec.structs.replace(scenario, known=known)
+        _simulate_scenario(scenario, common_time, rate, bounds, rng, outcome)
+    outcome.requests.sort()
+    outcome.retries.sort()
+    return outcome
+
+
+def _simulate_scenario(
+    scenario: Scenario,
+    common_time: float,
     rate: float,
     bounds: RoutingBounds,
     rng: random.Random,
-    played: Played,
+    outcome: Outcome,
 ) -> None:
-    budget = make_budget(bounds, known=view.known)
+    budget = make_budget(bounds, known=scenario.known)
     arrivals = ArrivalEstimator()
-    starts = [moment_of_all + after for after in view.starts]
+    starts = [common_time + after for after in scenario.starts]
     ticked_at = 0.0
-    wanted: list[float] = []
+    retries_due: list[float] = []
     sent = 0.0
-    while sent < DAY_S:
+    while sent < RUN_S:
         sent += rng.expovariate(rate)
-        seen = sent
-        if moment_of_all <= sent < moment_of_all + view.frozen_s:
-            seen = moment_of_all + view.frozen_s
-        while ticked_at < seen:
+        read = sent
+        if common_time <= sent < common_time + scenario.frozen_s:
+            read = common_time + scenario.frozen_s
+        while ticked_at < read:
             ticked_at += TICK_S
-            if not moment_of_all <= ticked_at < moment_of_all + view.frozen_s:
-                arrivals.tick(min(ticked_at, seen))
+            if not common_time <= ticked_at < common_time + scenario.frozen_s:
+                arrivals.tick(min(ticked_at, read))
         if starts and sent >= starts[0]:
             starts.pop(0)
-            wanted.clear()
-            budget = make_budget(bounds, known=view.known, started_at=sent)
-        played.requests.append(sent)
-        budget.record_request(arrivals.estimate_arrival(seen))
-        wanted.extend(seen + rng.uniform(0.0, DEMAND_S) for _ in range(2))
-        wanted.sort()
-        while wanted and wanted[0] <= seen:
-            moment = wanted.pop(0)
-            if budget.try_spend(max(moment, seen)):
-                played.repeats.append(max(moment, seen))
+            retries_due.clear()
+            budget = make_budget(bounds, known=scenario.known, started_at=sent)
+        outcome.requests.append(sent)
+        budget.record_request(arrivals.estimate_arrival(read))
+        retries_due.extend(read + rng.uniform(0.0, DEMAND_S) for _ in range(2))
+        retries_due.sort()
+        while retries_due and retries_due[0] <= read:
+            due = retries_due.pop(0)
+            if budget.try_spend(max(due, read)):
+                outcome.retries.append(max(due, read))
 
 
 @pytest.mark.parametrize("count", [1, 7, 59, 195])
-@pytest.mark.parametrize("view", VIEWS, ids=lambda view: view.name)
-def test_keep_the_common_budget_whatever_instances_know(view: View, count: int) -> None:
-    """Instances start anew, up to three times, or stand still while all answers fail.
+@pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.name)
+def test_common_budget_holds_whatever_members_instances_see(
+    scenario: Scenario, count: int
+) -> None:
+    """Instances restart up to three times, or stall, while all attempts fail.
 
-    Each divided the fixed part of the budget by the members that it saw. One that was
-    cut off or had just started saw nobody and took all of it.
+    An instance that is partitioned or has just started sees no others. If it divided
+    the fixed part of the budget by the members that it sees, it would take all of it.
     """
     bounds = msgspec.structs.replace(BOUNDS, retry_extra=45.0 + 2.0 * count)
     for seed in range(5):
         rng = random.Random(seed)
-        mixed = [rng.choice((view, *VIEWS)) for _ in range(count)]
-        for views in ([view] * count, mixed):
-            played = play_views(views, rate=80.0 / count, bounds=bounds, rng=rng)
-            assert played.repeats
-            assert find_excess(played, bounds) <= 0.0
+        mixed = [rng.choice((scenario, *SCENARIOS)) for _ in range(count)]
+        for scenarios in ([scenario] * count, mixed):
+            outcome = simulate_scenarios(
+                scenarios, rate=80.0 / count, bounds=bounds, rng=rng
+            )
+            assert outcome.retries
+            assert find_excess(outcome, bounds) <= 0.0
 
 
 @pytest.mark.parametrize("traffic", TRAFFIC, ids=lambda traffic: traffic.name)
-@pytest.mark.parametrize("entries", [1, 6, 61, 195])
-def test_keep_all_instances_within_the_common_budget(
-    traffic: Traffic, entries: int
+@pytest.mark.parametrize("instances", [1, 6, 61, 195])
+def test_all_instances_stay_within_the_common_budget(
+    traffic: Traffic, instances: int
 ) -> None:
-    """Instances repeat as much as they may, at moments of their own, some restarted.
+    """Instances use their whole budget, at times of their own; some are restarted.
 
-    Together they must stay below the ratio and the extra that the operators set, in
-    each window, without a word between them.
+    Without coordination, they must together stay within the configured ratio and extra
+    in each window.
     """
     for seed in range(5):
-        played = play(traffic, entries=entries, rng=random.Random(seed))
-        assert played.repeats
-        assert find_excess(played) <= 0.0
+        outcome = simulate(traffic, instances=instances, rng=random.Random(seed))
+        assert outcome.retries
+        assert find_excess(outcome) <= 0.0
 
 
-def test_use_what_was_earned_a_moment_ago() -> None:
-    """An instance of two hundred sees two requests a second, their doubts in clumps.
+def test_spend_what_was_earned_earlier_in_the_window() -> None:
+    """One of two hundred instances gets two requests a second; retries come in bursts.
 
-    Its fixed share is two repeats. A balance capped at that forgets what eight sure
-    answers earned, and the four doubtful ones that follow are passed on.
+    Its fixed share is two retries. If the balance were capped at that, what eight good
+    responses earned would be lost, and four that need a retry next would not get it.
     """
     budget = make_budget(MANY, started_at=0.0)
     for number in range(12):
@@ -236,17 +240,17 @@
     assert sum(budget.try_spend(6.0) for _ in range(20)) >= 9
 
 
-def test_forget_what_was_earned_a_window_ago() -> None:
+def test_earned_retries_expire_after_a_window() -> None:
     budget = make_budget(MANY, known=195)
     for _ in range(100):
         budget.record_request(0.0)
     assert not budget.try_spend(10.0)
 
 
-def test_keep_what_was_spent_when_members_change() -> None:
-    """An instance is lost, and the fixed part is divided anew among the rest.
+def test_spent_retries_count_across_membership_changes() -> None:
+    """An instance is lost, and the fixed part is redistributed among the rest.
 
-    With a fresh balance each change of members would give all repeats once more.
+    A reset balance would grant all retries again at each change of the membership.
     """
     for counts in ((6, 5), (6, 7), (6, 1)):
         members = MemberCount(is_single=False, settled_at=0.0)
@@ -260,18 +264,18 @@
         assert sum(budget.try_spend(1.0) for _ in range(20)) <= 1
 
 
-def test_never_repeat_more_than_was_asked_right_after_a_start() -> None:
-    """Instances that have just started take a first repeat each, however many.
+def test_retries_never_exceed_requests_right_after_a_start() -> None:
+    """Each of two hundred instances starts three times in a window.
 
-    Three starts in a window of each of two hundred may not add up to more than that.
+    The initial retry after each start must not add up to more than was requested.
     """
     for requests in range(8):
         budget = make_budget(MANY, known=195, started_at=0.0)
         for _ in range(requests):
             budget.record_request(0.1)
-        taken = sum(budget.try_spend(0.2) for _ in range(20))
-        assert taken <= requests
-        assert taken <= MANY.retry_ratio * requests + 0.4
+        spent = sum(budget.try_spend(0.2) for _ in range(20))
+        assert spent <= requests
+        assert spent <= MANY.retry_ratio * requests + 0.4
 
 
 def count_fixed(members: MemberCount, now: float) -> int:
@@ -279,8 +283,8 @@
     return sum(budget.try_spend(now) for _ in range(500))
 
 
-def test_take_the_fixed_part_only_where_the_members_are_known() -> None:
-    """An instance knows itself alone when it starts, and again when it is cut off."""
+def test_fixed_part_is_used_only_once_members_are_known() -> None:
+    """An instance sees only itself after a start, and again when it is partitioned."""
     members = MemberCount(is_single=False, settled_at=10.0)
     assert count_fixed(members, 50.0) == 0
     members.record(10)
@@ -292,18 +296,18 @@
     assert count_fixed(MemberCount(is_single=True, settled_at=10.0), 0.0) > share
 
 
-def test_try_the_first_request_elsewhere() -> None:
-    """All instances were lost and start again; the first answers of each fail.
+def test_first_request_can_be_retried() -> None:
+    """All instances restart at once, and their first attempts fail.
 
-    Callers come back to instances that have earned nothing yet.
+    Callers return to instances that have not earned any retries yet.
     """
     budget = make_budget(MANY, started_at=0.0)
     budget.record_request(0.1)
     assert budget.try_spend(0.1)
 
 
-def test_date_requests_back_that_came_while_an_instance_stood_still() -> None:
-    """An instance is frozen for six seconds and reads all that came at once."""
+def test_requests_read_after_a_stall_are_backdated() -> None:
+    """An instance stalls for six seconds and then reads all waiting requests."""
     arrivals = ArrivalEstimator()
     assert arrivals.estimate_arrival(0.0) == 0.0
     for number in range(20):
--- a/tests/routing/test_crashes.py
+++ b/tests/routing/test_crashes.py
@@ -1,4 +1,4 @@
-"""Tests of who is held for a row of crashes, and who is not."""
+"""Tests of which requests are suspected for a series of crashes, and which aren't."""
 
 from __future__ import annotations
 
@@ -34,86 +34,86 @@
     return Crash(**(fields | more))  # type: ignore[arg-type]
 
 
-def judge(
-    ledger: CrashAnalysis,
+def find_suspects(
+    analysis: CrashAnalysis,
     now: float = LATER_S,
     *,
-    held: frozenset[str] = frozenset(),
-    relapsed: frozenset[str] = frozenset(),
-    trial: str = "",
+    quarantined: frozenset[str] = frozenset(),
+    previously_quarantined: frozenset[str] = frozenset(),
+    canary: str = "",
 ) -> list[Suspect]:
-    return ledger.find_suspects(
+    return analysis.find_suspects(
         now,
-        quarantined=held,
-        previously_quarantined=relapsed,
-        is_canary=lambda service, version: version == trial,
+        quarantined=quarantined,
+        previously_quarantined=previously_quarantined,
+        is_canary=lambda service, version: version == canary,
     )
 
 
 def find(crashes: list[Crash], **more: object) -> list[str]:
-    """Return who is held once all of these crashes have settled."""
-    ledger = CrashAnalysis()
+    """Return the fingerprints of the suspects once all crashes have settled."""
+    analysis = CrashAnalysis()
     for crash in crashes:
-        ledger.record(crash, 0.0)
-    return [s.fingerprint for s in judge(ledger, **more)]  # type: ignore[arg-type]
+        analysis.record(crash, 0.0)
+    return [s.fingerprint for s in find_suspects(analysis, **more)]  # type: ignore[arg-type]
 
 
-def test_hold_the_one_that_was_at_all_crashes() -> None:
+def test_suspect_the_request_that_was_at_all_crashes() -> None:
     crashes = [make_crash("e1", "bad", "a"), make_crash("e2", "bad", "a", "b")]
     assert find(crashes) == []
     assert find([*crashes, make_crash("e3", "bad", "b")]) == ["bad"]
 
 
-def test_wait_for_the_next_crash_where_two_were_at_all() -> None:
-    """A good request is tried again beside the bad one, three times in a row.
+def test_wait_for_the_next_crash_if_two_were_at_all() -> None:
+    """A good request is retried next to the bad one, three times in a row.
 
-    Nothing tells them apart by then. The bad one comes again without it.
+    They can't be told apart until the bad one is sent again without the good one.
     """
     crashes = [make_crash(f"e{n}", "bad", "good") for n in range(MIN_CRASHES)]
     assert find(crashes) == []
     assert find([*crashes, make_crash("e9", "bad", "other")]) == ["bad"]
 
 
-def test_hold_both_where_they_always_crash_together() -> None:
+def test_suspect_both_if_they_always_crash_together() -> None:
     crashes = [
         make_crash(f"e{n}", "bad", "worse") for n in range(MIN_CRASHES_IF_AMBIGUOUS)
     ]
     assert len(find(crashes)) == 1
-    assert find(crashes, held=frozenset({"bad"})) == []
+    assert find(crashes, quarantined=frozenset({"bad"})) == []
 
 
-def test_hold_nobody_for_crashes_that_are_explained() -> None:
+def test_no_suspect_for_crashes_that_are_explained() -> None:
     crashes = [make_crash(f"e{n}", "bad", "good") for n in range(MIN_CRASHES)]
-    assert find(crashes, held=frozenset({"bad"})) == []
+    assert find(crashes, quarantined=frozenset({"bad"})) == []
 
 
-def test_hold_nobody_for_crashes_by_themselves() -> None:
+def test_no_suspect_for_unrelated_crashes() -> None:
     crashes = [make_crash(f"e{n}", f"a{n}", f"b{n}", f"a{n + 1}") for n in range(20)]
     assert find(crashes) == []
 
 
-def test_count_one_crash_that_several_instances_saw_once() -> None:
+def test_crash_reported_by_several_instances_counts_once() -> None:
     assert find([make_crash("e1", "bad"), make_crash("e1", "bad")] * 3) == []
 
 
-def test_wait_until_all_instances_have_told() -> None:
-    """The instance that sends a good request is the first to tell of the third crash.
+def test_wait_for_the_reports_of_all_instances() -> None:
+    """The instance that sent a good request is the first to report the third crash.
 
-    Judged at once, the good request would be the only one that was at all of them.
+    Analyzed at once, the good request would be the only one that was at all of them.
     """
-    ledger = CrashAnalysis()
+    analysis = CrashAnalysis()
     for name in ("e1", "e2"):
-        ledger.record(make_crash(name, "good"), 0.0)
-        ledger.record(make_crash(name, "bad"), 0.0)
-    assert judge(ledger) == []
-    ledger.record(make_crash("e3", "good"), 1.0)
-    assert not ledger.is_due(1.0 + SETTLE_S / 2)
-    assert judge(ledger, 1.0 + SETTLE_S / 2) == []
-    ledger.record(make_crash("e3", "bad"), 1.0 + SETTLE_S / 2)
-    assert judge(ledger, 1.0 + LATER_S) == []
+        analysis.record(make_crash(name, "good"), 0.0)
+        analysis.record(make_crash(name, "bad"), 0.0)
+    assert find_suspects(analysis) == []
+    analysis.record(make_crash("e3", "good"), 1.0)
+    assert not analysis.is_due(1.0 + SETTLE_S / 2)
+    assert find_suspects(analysis, 1.0 + SETTLE_S / 2) == []
+    analysis.record(make_crash("e3", "bad"), 1.0 + SETTLE_S / 2)
+    assert find_suspects(analysis, 1.0 + LATER_S) == []
 
 
-def test_look_first_at_those_that_began_of_late() -> None:
+def test_requests_that_began_recently_are_suspected_first() -> None:
     crashes = [
         make_crash("e1", "bad", older=["long"]),
         make_crash("e2", "bad", older=["long"]),
@@ -124,19 +124,19 @@
     assert find(crashes) == ["long"]
 
 
-def test_forget_a_request_that_was_answered() -> None:
-    ledger = CrashAnalysis()
+def test_answered_request_is_no_suspect() -> None:
+    analysis = CrashAnalysis()
     for n in range(3):
-        ledger.record(make_crash(f"e{n}", "good"), 0.0)
-    ledger.clear("good")
-    assert judge(ledger) == []
+        analysis.record(make_crash(f"e{n}", "good"), 0.0)
+    analysis.clear("good")
+    assert find_suspects(analysis) == []
 
 
-def test_blame_a_version_that_crashes_under_everything() -> None:
-    """A version that was rolled out crashes under whatever it is given.
+def test_blame_a_version_that_crashes_under_all_requests() -> None:
+    """A new version crashes under any request, and each request is at three crashes.
 
-    Each request that came to it was at three crashes. None is to blame; held, all good
-    requests of these minutes would be refused long after the version was taken back.
+    No request is to blame. Quarantined, all of them would be rejected long after the
+    version was rolled back.
     """
     crashes = [
         make_crash(f"e{n}", f"good{n // 3}", version="v2", is_proven=False)
@@ -145,43 +145,43 @@
     assert find(crashes) == []
 
 
-def test_hold_for_a_version_alone_where_it_never_answered() -> None:
-    """The same request only, at a version that never answered: either may be to blame.
+def test_suspect_is_bound_to_a_version_that_never_answered() -> None:
+    """A version that never answered crashes under one request: either may be at fault.
 
-    It is held as long as there is no other version that might serve it.
+    The request is quarantined while there is no other version that might serve it.
     """
-    ledger = CrashAnalysis()
+    analysis = CrashAnalysis()
     for n in range(3):
-        ledger.record(make_crash(f"e{n}", "some", version="v2", is_proven=False), 0.0)
-    (suspect,) = judge(ledger)
+        analysis.record(make_crash(f"e{n}", "some", version="v2", is_proven=False), 0.0)
+    (suspect,) = find_suspects(analysis)
     assert suspect.versions == ("v2",)
 
 
-def test_hold_nobody_for_crashes_on_trial_alone() -> None:
+def test_no_suspect_for_crashes_of_a_canary_alone() -> None:
     crashes = [make_crash(f"e{n}", "some", version="v2") for n in range(4)]
-    assert find(crashes, trial="v2") == []
-    assert find([*crashes, make_crash("e9", "some")], trial="v2") == ["some"]
+    assert find(crashes, canary="v2") == []
+    assert find([*crashes, make_crash("e9", "some")], canary="v2") == ["some"]
 
 
-def test_hold_at_the_first_crash_of_a_relapse() -> None:
+def test_one_crash_suffices_after_an_earlier_quarantine() -> None:
     crashes = [make_crash("e1", "bad", "good")]
-    assert find(crashes, relapsed=frozenset({"bad"})) == ["bad"]
+    assert find(crashes, previously_quarantined=frozenset({"bad"})) == ["bad"]
 
 
-def test_forget_old_crashes() -> None:
-    ledger = CrashAnalysis()
-    ledger.record(make_crash("e1", "some"), 0.0)
-    ledger.record(make_crash("e2", "some"), 0.0)
-    ledger.record(make_crash("e3", "some"), RETENTION_S + 1.0)
-    assert judge(ledger, RETENTION_S + 1.0 + LATER_S) == []
+def test_old_crashes_are_dropped() -> None:
+    analysis = CrashAnalysis()
+    analysis.record(make_crash("e1", "some"), 0.0)
+    analysis.record(make_crash("e2", "some"), 0.0)
+    analysis.record(make_crash("e3", "some"), RETENTION_S + 1.0)
+    assert find_suspects(analysis, RETENTION_S + 1.0 + LATER_S) == []
 
 
-def test_bound_what_is_kept() -> None:
-    ledger = CrashAnalysis()
+def test_number_of_crashes_is_bounded() -> None:
+    analysis = CrashAnalysis()
     for n in range(MAX_CRASHES + 50):
-        ledger.record(make_crash(f"e{n}", f"a{n}"), 0.0)
-    assert len(ledger._crashes) == MAX_CRASHES
-    assert not ledger._pending - ledger._crashes.keys()
+        analysis.record(make_crash(f"e{n}", f"a{n}"), 0.0)
+    assert len(analysis._crashes) == MAX_CRASHES
+    assert not analysis._pending - analysis._crashes.keys()
 
 
 @given(
@@ -190,69 +190,72 @@
     beside=st.integers(0, 40),
     tries=st.integers(1, 3),
 )
-def test_hold_only_what_crashes_servers(
+def test_only_requests_that_crash_servers_are_quarantined(
     seed: int, servers: int, beside: int, tries: int
 ) -> None:
-    """One bad request comes again and again among good ones, each tried a few times.
+    """One bad request is sent repeatedly among good ones, each attempted a few times.
 
-    Whatever the number of servers and of good requests on them: no good one is held, as
-    it is answered or gives up, and the bad one is held after six crashes at the latest.
+    For any number of servers and of good requests on them, no good request is
+    quarantined, as it is answered or given up, and the bad one is after at most six
+    crashes.
     """
     rng = random.Random(seed)
-    ledger = CrashAnalysis()
-    held: set[str] = set()
-    moment, crashes, number = 0.0, 0, 0
-    again: list[str] = []
-    left: dict[str, int] = {}
-    while "bad" not in held:
-        moment += 1.0
+    analysis = CrashAnalysis()
+    quarantined: set[str] = set()
+    now, crashes, number = 0.0, 0, 0
+    retried: list[str] = []
+    attempts_left: dict[str, int] = {}
+    while "bad" not in quarantined:
+        now += 1.0
         crashes += 1
-        there = [good for good in again if rng.random() < 3 / servers]
+        present = [good for good in retried if rng.random() < 3 / servers]
         for _ in range(rng.randint(0, beside)):
             number += 1
-            there.append(f"good{number}")
-        ledger.record(make_crash(f"s{crashes}", "bad", *there), moment)
-        again = []
-        for good in there:
-            left[good] = left.get(good, tries) - 1
-            if left[good] > 0:
-                again.append(good)
-        found = judge(ledger, moment + LATER_S, held=frozenset(held))
-        held.update(s.fingerprint for s in found)
+            present.append(f"good{number}")
+        analysis.record(make_crash(f"s{crashes}", "bad", *present), now)
+        retried = []
+        for good in present:
+            attempts_left[good] = attempts_left.get(good, tries) - 1
+            if attempts_left[good] > 0:
+                retried.append(good)
+        suspects = find_suspects(
+            analysis, now + LATER_S, quarantined=frozenset(quarantined)
+        )
+        quarantined.update(s.fingerprint for s in suspects)
         assert crashes <= MIN_CRASHES_IF_AMBIGUOUS
-    assert held == {"bad"}
+    assert quarantined == {"bad"}
 
 
 @pytest.mark.parametrize("rounds", [1, 5])
-def test_judge_once_for_each_crash(rounds: int) -> None:
-    ledger = CrashAnalysis()
+def test_each_crash_is_analyzed_once(rounds: int) -> None:
+    analysis = CrashAnalysis()
     for n in range(rounds):
-        ledger.record(make_crash(f"e{n}", "some", f"other{n}"), float(n))
-        assert not ledger.is_due(n + SETTLE_S / 2)
-        assert ledger.is_due(n + LATER_S)
-        judge(ledger, n + LATER_S)
-        assert not ledger.is_due(n + LATER_S)
+        analysis.record(make_crash(f"e{n}", "some", f"other{n}"), float(n))
+        assert not analysis.is_due(n + SETTLE_S / 2)
+        assert analysis.is_due(n + LATER_S)
+        find_suspects(analysis, n + LATER_S)
+        assert not analysis.is_due(n + LATER_S)
 
 
-def test_let_the_first_judge_conclude_first() -> None:
-    ledger = CrashAnalysis(find_delay=lambda service: 1.0)
+def test_later_owners_wait_for_the_first_one() -> None:
+    analysis = CrashAnalysis(find_delay=lambda service: 1.0)
     for n in range(3):
-        ledger.record(make_crash(f"e{n}", "bad"), 0.0)
-    assert not ledger.is_due(LATER_S)
-    assert judge(ledger, LATER_S) == []
-    assert ledger.is_due(1.0 + LATER_S)
-    assert len(judge(ledger, 1.0 + LATER_S)) == 1
+        analysis.record(make_crash(f"e{n}", "bad"), 0.0)
+    assert not analysis.is_due(LATER_S)
+    assert find_suspects(analysis, LATER_S) == []
+    assert analysis.is_due(1.0 + LATER_S)
+    assert len(find_suspects(analysis, 1.0 + LATER_S)) == 1
 
 
-def test_count_crashes_of_a_version_that_never_answered_once() -> None:
-    ledger = CrashAnalysis()
+def test_unproven_crashes_are_listed_once() -> None:
+    analysis = CrashAnalysis()
     for n in range(2):
-        ledger.record(make_crash(f"n{n}", "some", version="v2", is_proven=False), 0.0)
-    ledger.record(make_crash("n2", "bad", version="v2", is_proven=False), 0.0)
-    ledger.record(make_crash("e1", "other"), 0.0)
-    assert ledger.list_unproven_crashes(SETTLE_S / 2, quarantined=()) == []
+        analysis.record(make_crash(f"n{n}", "some", version="v2", is_proven=False), 0.0)
+    analysis.record(make_crash("n2", "bad", version="v2", is_proven=False), 0.0)
+    analysis.record(make_crash("e1", "other"), 0.0)
+    assert analysis.list_unproven_crashes(SETTLE_S / 2, quarantined=()) == []
     assert (
-        ledger.list_unproven_crashes(LATER_S, quarantined={"bad"})
+        analysis.list_unproven_crashes(LATER_S, quarantined={"bad"})
         == [("engine", "v2")] * 2
     )
-    assert ledger.list_unproven_crashes(LATER_S, quarantined=()) == []
+    assert analysis.list_unproven_crashes(LATER_S, quarantined=()) == []
--- a/tests/routing/test_deltas.py
+++ b/tests/routing/test_deltas.py
@@ -1,4 +1,4 @@
-"""Tests of changes by operators that one instance tells another."""
+"""Tests of deltas of the operators' state, exchanged among instances."""
 
 from __future__ import annotations
 
@@ -75,8 +75,8 @@
     )
 
 
-def arrange(configuration: RoutingConfiguration) -> RoutingConfiguration:
-    """Return the same with its parts in order."""
+def normalize(configuration: RoutingConfiguration) -> RoutingConfiguration:
+    """Return the same configuration with its parts sorted by name."""
     return msgspec.structs.replace(
         configuration,
         routes=tuple(sorted(configuration.routes, key=lambda r: r.name)),
@@ -86,43 +86,43 @@
 
 
 @given(configurations(1), configurations(2))
-def test_lead_from_any_configuration_to_any_other(
+def test_delta_leads_from_any_configuration_to_any_other(
     before: RoutingConfiguration, after: RoutingConfiguration
 ) -> None:
-    change = make_configuration_delta(before, after)
-    assert change is not None
-    told = msgspec.json.decode(msgspec.json.encode(change), type=type(change))
-    found = apply_configuration_delta(before, told)
-    assert found is not None
-    assert arrange(found) == arrange(after)
+    delta = make_configuration_delta(before, after)
+    assert delta is not None
+    received = msgspec.json.decode(msgspec.json.encode(delta), type=type(delta))
+    applied = apply_configuration_delta(before, received)
+    assert applied is not None
+    assert normalize(applied) == normalize(after)
 
 
 @given(configurations(1), configurations(1), configurations(2))
-def test_lead_nowhere_else(
+def test_delta_leads_to_no_other_configuration(
     before: RoutingConfiguration,
     other: RoutingConfiguration,
     after: RoutingConfiguration,
 ) -> None:
-    """Two instances hold unlike configurations under one version.
+    """Two instances have different configurations of the same version.
 
-    A difference that was made for the other one would keep a key that was taken away.
+    A delta made for the other one could keep a key that was revoked.
     """
-    change = make_configuration_delta(before, after)
-    assert change is not None
-    found = apply_configuration_delta(other, change)
-    assert found is None or arrange(found) == arrange(after)
-    assert apply_configuration_delta(after, change) is None
+    delta = make_configuration_delta(before, after)
+    assert delta is not None
+    applied = apply_configuration_delta(other, delta)
+    assert applied is None or normalize(applied) == normalize(after)
+    assert apply_configuration_delta(after, delta) is None
 
 
-def test_tell_nothing_of_parts_that_share_a_name() -> None:
-    """Two routes of one path: which one counts is told by their order alone."""
+def test_no_delta_for_parts_that_share_a_name() -> None:
+    """Of two routes with one path only the order decides which one applies."""
     twice = tuple(make_route("a", timeout_s, "s") for timeout_s in (1.0, 2.0))
     before = RoutingConfiguration(version=1, routes=twice, services=())
     after = RoutingConfiguration(version=2, routes=twice[:1], services=())
     assert make_configuration_delta(before, after) is None
 
 
-def make_knowledge() -> StateReplica:
+def make_replica() -> StateReplica:
     return StateReplica(bounds=RoutingBounds())
 
 
@@ -135,49 +135,49 @@
     )
 
 
-def read(knowledge: StateReplica, end: int, *words: object) -> None:
-    """Let an instance read the store, in which somebody wrote something."""
-    for word in words:
-        match word:
+def read(replica: StateReplica, end: int, *records: object) -> None:
+    """Let an instance read new records from the store."""
+    for record in records:
+        match record:
             case RoutingConfiguration():
-                knowledge.apply_configuration(word)
+                replica.apply_configuration(record)
             case RolloutOrder():
-                knowledge.apply_order(word)
+                replica.apply_order(record)
             case Evacuation():
-                knowledge.apply_evacuation(word)
-    knowledge.record_operators_read(end=end, requested_at=float(end))
+                replica.apply_evacuation(record)
+    replica.record_operators_read(end=end, requested_at=float(end))
 
 
-def test_follow_step_by_step() -> None:
-    """A reader learns of keys, an order and an evacuation, and tells one behind it."""
-    reader, other = make_knowledge(), make_knowledge()
-    for knowledge in (reader, other):
-        read(knowledge, 1, configure(1, "k1", "k2"))
+def test_peer_follows_by_deltas() -> None:
+    """A reader reads keys, an order and an evacuation, and brings a peer up to date."""
+    reader, other = make_replica(), make_replica()
+    for replica in (reader, other):
+        read(replica, 1, configure(1, "k1", "k2"))
     order = RolloutOrder(number=2, service="s", target="v2", time_limit_s=9.0)
     evacuation = Evacuation(number=3, failure_domain="a", is_on=True)
     read(reader, 2, configure(2, "k1"))
     read(reader, 4, order, evacuation)
-    steps = reader.deltas.list_since(other.operators_end)
-    assert [(step.since, step.end) for step in steps] == [(1, 2), (2, 4)]
-    other.apply_deltas(steps)
+    deltas = reader.deltas.list_since(other.operators_end)
+    assert [(delta.since, delta.end) for delta in deltas] == [(1, 2), (2, 4)]
+    other.apply_deltas(deltas)
     assert other.table is not None
     assert other.table.authenticate("k1")
     assert not other.table.authenticate("k2")
     assert other.orders == {"s": order}
     assert other.evacuations.domains == {"a"}
     assert other.operators_end == other.freshness.folded == 4
-    assert other.deltas.list_since(1) == steps
+    assert other.deltas.list_since(1) == deltas
 
 
-def test_take_no_step_that_does_not_fit() -> None:
-    """One step was lost on the way: the next one proves nothing about it.
+def test_delta_after_a_gap_is_ignored() -> None:
+    """One delta is lost on the way, and the next one arrives.
 
-    Taken for all that there is, its offset would tell that nothing is missing, and the
-    key that the lost step took away would be honoured for good.
+    Applied, its offset would claim that nothing is missing, and the key that the lost
+    delta revoked would be accepted indefinitely.
     """
-    reader, other = make_knowledge(), make_knowledge()
-    for knowledge in (reader, other):
-        read(knowledge, 1, configure(1, "k1", "k2"))
+    reader, other = make_replica(), make_replica()
+    for replica in (reader, other):
+        read(replica, 1, configure(1, "k1", "k2"))
     read(reader, 2, configure(2, "k1"))
     read(reader, 3, Evacuation(number=2, failure_domain="a", is_on=True))
     other.apply_deltas(reader.deltas.list_since(2))
@@ -188,8 +188,8 @@
     assert other.operators_end == 3
 
 
-def test_take_nothing_before_the_first_configuration() -> None:
-    reader, other = make_knowledge(), make_knowledge()
+def test_no_delta_is_applied_before_the_first_configuration() -> None:
+    reader, other = make_replica(), make_replica()
     read(reader, 1, configure(1, "k1"))
     assert reader.deltas.list_since(0) == []
     read(reader, 2, configure(2, "k1", "k2"))
@@ -198,23 +198,23 @@
     assert other.operators_end == 0
 
 
-def test_tell_no_step_that_is_too_long() -> None:
-    """Hundreds of routes are added at once; each instance reads them itself."""
-    reader = make_knowledge()
+def test_large_delta_is_not_kept() -> None:
+    """Hundreds of routes are added at once; each instance reads them from the store."""
+    reader = make_replica()
     read(reader, 1, configure(1, "k1"))
     read(reader, 2, configure(2, "k1", routes=MAX_DELTA_BYTES // 50))
     assert reader.deltas.list_since(1) == []
     read(reader, 3, configure(3, "k2", routes=MAX_DELTA_BYTES // 50))
     assert reader.deltas.list_since(1) == []
-    assert [step.end for step in reader.deltas.list_since(2)] == [3]
+    assert [delta.end for delta in reader.deltas.list_since(2)] == [3]
 
 
-def test_tell_no_row_of_steps_that_no_datagram_holds() -> None:
-    """Changes come in quick succession, each of them short enough to be told.
+def test_series_of_deltas_fits_a_datagram() -> None:
+    """Changes come in quick succession, each of them small enough to be sent.
 
-    A word that is too long isn't sent at all: nobody would hear how old it is either.
+    A message that is too large isn't sent at all, and its ages would be lost as well.
     """
-    reader = make_knowledge()
+    reader = make_replica()
     routes = MAX_DELTA_BYTES // 600
     read(reader, 1, configure(1, "k1"))
     for number in range(2, 8):
@@ -224,8 +224,8 @@
     assert reader.deltas.list_since(1) == []
 
 
-def test_keep_only_the_last_steps() -> None:
-    reader = make_knowledge()
+def test_keep_only_the_last_deltas() -> None:
+    reader = make_replica()
     for number in range(1, MAX_DELTAS + 5):
         read(reader, number, configure(number, f"k{number}"))
     assert reader.deltas.list_since(1) == []
--- a/tests/routing/test_quarantine.py
+++ b/tests/routing/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Tests of the list of requests that are held, and of what others tell of it."""
+"""Tests of the quarantine list and of merging the entries of peers."""
 
 from __future__ import annotations
 
@@ -21,17 +21,19 @@
 NO_VERSIONS: tuple[str, ...] = ()
 
 
-def find(quarantine: Quarantine, name: str, now: float = 0.0, *versions: str) -> bool:
+def is_quarantined(
+    quarantine: Quarantine, name: str, now: float = 0.0, *versions: str
+) -> bool:
     return quarantine.find(name, lambda service: versions, now) is not None
 
 
-def test_hold_for_a_time_and_longer_each_time() -> None:
+def test_quarantine_lasts_longer_each_time() -> None:
     quarantine = Quarantine()
     first = quarantine.add("f1", "s", NO_VERSIONS, 0.0)
     assert (first.times, first.left_s) == (1, QUARANTINE_S)
-    assert find(quarantine, "f1", QUARANTINE_S - 1)
-    assert not find(quarantine, "f1", QUARANTINE_S)
-    assert not find(quarantine, "f2")
+    assert is_quarantined(quarantine, "f1", QUARANTINE_S - 1)
+    assert not is_quarantined(quarantine, "f1", QUARANTINE_S)
+    assert not is_quarantined(quarantine, "f2")
     assert quarantine.previously_quarantined(QUARANTINE_S) == {"f1"}
     again = quarantine.add("f1", "s", NO_VERSIONS, QUARANTINE_S)
     assert (again.times, again.left_s) == (2, 2 * QUARANTINE_S)
@@ -40,45 +42,45 @@
     assert again.left_s == MAX_QUARANTINE_S
 
 
-def test_let_go_what_was_answered() -> None:
+def test_answered_request_is_released() -> None:
     quarantine = Quarantine()
     quarantine.add("f1", "s", NO_VERSIONS, 0.0)
     before = quarantine.digest
     cleared = quarantine.release("f1", 1.0)
     assert cleared is not None
-    assert not find(quarantine, "f1", 1.0)
+    assert not is_quarantined(quarantine, "f1", 1.0)
     assert quarantine.digest != before
     assert quarantine.release("f1", 1.0) is None
     assert quarantine.add("f1", "s", NO_VERSIONS, 2.0).times == 2
 
 
-def test_hold_only_where_there_is_no_other_version() -> None:
+def test_other_version_suspends_a_quarantine() -> None:
     quarantine = Quarantine()
     quarantine.add("f1", "s", ("v2",), 0.0)
-    assert find(quarantine, "f1", 0.0, "v2")
-    assert not find(quarantine, "f1", 0.0, "v1", "v2")
+    assert is_quarantined(quarantine, "f1", 0.0, "v2")
+    assert not is_quarantined(quarantine, "f1", 0.0, "v1", "v2")
 
 
-def test_forget_what_is_long_over() -> None:
+def test_old_entries_are_dropped() -> None:
     quarantine = Quarantine()
     quarantine.add("f1", "s", NO_VERSIONS, 0.0)
     end = QUARANTINE_S + RELAPSE_WINDOW_S + 1.0
     (late,) = quarantine.list(end - 5.0)
-    assert [held.fingerprint for held in quarantine.expire(end)] == ["f1"]
+    assert [entry.fingerprint for entry in quarantine.expire(end)] == ["f1"]
     assert (len(quarantine), quarantine.digest) == (0, 0)
-    # A peer whose entry ends a moment later doesn't bring it back.
+    # A peer whose entry ends slightly later does not restore it.
     assert not quarantine.apply(late, end)
 
 
-def test_bound_the_list() -> None:
+def test_number_of_entries_is_bounded() -> None:
     quarantine = Quarantine()
     for number in range(MAX_ENTRIES + 10):
         quarantine.add(f"f{number}", "s", NO_VERSIONS, float(number))
     assert len(quarantine) == MAX_ENTRIES
-    assert not find(quarantine, "f0", MAX_ENTRIES + 10.0)
+    assert not is_quarantined(quarantine, "f0", MAX_ENTRIES + 10.0)
 
 
-def test_fit_the_longest_list_into_one_datagram() -> None:
+def test_longest_list_fits_into_one_datagram() -> None:
     quarantine = Quarantine()
     for number in range(MAX_ENTRIES):
         quarantine.add(f"{number:016d}", "service-of-some-length", ("v1", "v2"), 0.0)
@@ -90,26 +92,26 @@
         st.tuples(st.sampled_from("abc"), st.integers(1, 3), st.booleans()), max_size=5
     )
 )
-def test_end_with_the_same_list_in_any_order(
-    told: list[tuple[str, int, bool]],
+def test_lists_converge_in_any_order(
+    received: list[tuple[str, int, bool]],
 ) -> None:
     entries = [
         QuarantineEntry(
             fingerprint=f, service="s", times=times, left_s=9.0, is_cleared=cleared
         )
-        for f, times, cleared in told
+        for f, times, cleared in received
     ]
     digests = set()
     for order in itertools.permutations(entries):
         quarantine = Quarantine()
-        for held in order:
-            quarantine.apply(held, 0.0)
+        for entry in order:
+            quarantine.apply(entry, 0.0)
         digests.add(quarantine.digest)
     assert len(digests) == 1
 
 
-def test_tell_requests_of_two_callers_apart() -> None:
-    """Nobody shuts out another account's request, nor another request of its own."""
+def test_fingerprints_differ_for_different_requests() -> None:
+    """No account can get another one's requests quarantined, nor its own others."""
     same = {
         "account": "metro",
         "method": "POST",
--- a/tests/routing/test_regions.py
+++ b/tests/routing/test_regions.py
@@ -1,4 +1,4 @@
-"""Tests of where a request may be served and which instances may read its body."""
+"""Tests of allowed regions: where requests may be served and their bodies read."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     find_common_regions,
 )
 
-AREAS = Regions(by_domain={"a": "north", "b": "north", "c": "south", "d": "east"})
+REGIONS = Regions(by_domain={"a": "north", "b": "north", "c": "south", "d": "east"})
 
 
-def make_route(*homes: str) -> Route:
+def make_route(*regions: str) -> Route:
     return Route(
         name="r",
         host="h",
@@ -30,15 +30,15 @@
         objective_s=1.0,
         priority=1,
         max_attempts=1,
-        allowed_regions=homes,
+        allowed_regions=regions,
     )
 
 
-def make_account(*homes: str) -> Account:
-    return Account(name="metro", keys=(), allowed_regions=homes)
+def make_account(*regions: str) -> Account:
+    return Account(name="metro", keys=(), allowed_regions=regions)
 
 
-def test_bind_by_route_and_account() -> None:
+def test_route_and_account_both_restrict_regions() -> None:
     assert find_allowed_regions(make_route(), None) is None
     assert find_allowed_regions(make_route(), make_account()) is None
     assert find_allowed_regions(make_route("north"), make_account()) == {"north"}
@@ -52,26 +52,26 @@
     )
 
 
-def test_serve_in_no_domain_of_which_nothing_is_known() -> None:
-    assert AREAS.may_serve(None, "z")
-    assert AREAS.may_serve(frozenset({"north"}), "b")
-    assert not AREAS.may_serve(frozenset({"north"}), "c")
-    assert not AREAS.may_serve(frozenset({"north"}), "z")
-    assert not AREAS.may_serve(frozenset(), "a")
+def test_domain_of_unknown_region_serves_only_unrestricted_requests() -> None:
+    assert REGIONS.may_serve(None, "z")
+    assert REGIONS.may_serve(frozenset({"north"}), "b")
+    assert not REGIONS.may_serve(frozenset({"north"}), "c")
+    assert not REGIONS.may_serve(frozenset({"north"}), "z")
+    assert not REGIONS.may_serve(frozenset(), "a")
 
 
-def test_tell_what_names_nothing() -> None:
-    found = RoutingConfiguration(
+def test_list_unknown_regions_and_domains() -> None:
+    configuration = RoutingConfiguration(
         version=1, routes=(make_route("north", "nrth"),), services=()
     )
-    assert AREAS.list_unknown_regions(found) == ["nrth"]
-    assert Regions(by_domain={}).list_unknown_regions(found) == []
-    assert AREAS.list_unknown_domains(frozenset({"a", "z"})) == ["z"]
+    assert REGIONS.list_unknown_regions(configuration) == ["nrth"]
+    assert Regions(by_domain={}).list_unknown_regions(configuration) == []
+    assert REGIONS.list_unknown_domains(frozenset({"a", "z"})) == ["z"]
 
 
-def test_find_where_all_bodies_may_be_read() -> None:
-    def common(*homes: tuple[str, ...]) -> frozenset[str]:
-        routes = tuple(make_route(*each) for each in homes)
+def test_find_common_regions() -> None:
+    def common(*restrictions: tuple[str, ...]) -> frozenset[str]:
+        routes = tuple(make_route(*regions) for regions in restrictions)
         configuration = RoutingConfiguration(version=1, routes=routes, services=())
         return find_common_regions(configuration)
 
@@ -80,8 +80,10 @@
     assert common(("south",), ("north",)) == {"north", "south"}
 
 
-def name_for(area: str, domains: str, *, me: str = "a", is_ready: bool = True) -> str:
-    """Return the domains of the instances that callers of an area are told."""
+def list_domains(
+    region: str, domains: str, *, me: str = "a", is_ready: bool = True
+) -> str:
+    """Return the domains of the instances that callers of a region are sent to."""
     members = [
         MemberInfo(
             name=f"{n}-{domain}",
@@ -100,26 +102,27 @@
         is_stale=lambda member: False,
         failure_domain="x",
         max_lifetime_s=5.0,
-        region=area,
+        region=region,
         allowed_regions=frozenset({"south"}),
-        regions=AREAS,
+        regions=REGIONS,
     )
     return "".join(sorted(found.addresses))
 
 
-def test_name_instances_of_the_callers_area() -> None:
-    """An instance in a third area would read a body that may not leave its home."""
-    assert name_for("north", "abcd") == "ab"
-    assert name_for("south", "abcd") == "c"
-    assert name_for("south", "abcd", me="c") == "c"
-    assert name_for("west", "abcd") == "c"
-    assert name_for("west", "abd") == "abd"
+def test_list_instances_of_the_callers_region() -> None:
+    """An instance in a third region would read bodies that must not leave theirs."""
+    assert list_domains("north", "abcd") == "ab"
+    assert list_domains("south", "abcd") == "c"
+    assert list_domains("south", "abcd", me="c") == "c"
+    assert list_domains("west", "abcd") == "c"
+    assert list_domains("west", "abd") == "abd"
 
 
-def test_name_home_where_the_only_near_instance_stops() -> None:
-    """The last instance of an area was told to stop and is asked for addresses.
+def test_list_allowed_regions_if_the_only_instance_of_the_region_stops() -> None:
+    """The last instance of a region is stopping and is asked for addresses.
 
-    It named itself, and callers connected to one that ends a moment later.
+    It must not return its own address, as callers would connect to an instance that
+    terminates shortly afterwards.
     """
-    assert name_for("north", "acd", is_ready=False) == "c"
-    assert name_for("north", "abcd", is_ready=False) == "b"
+    assert list_domains("north", "acd", is_ready=False) == "c"
+    assert list_domains("north", "abcd", is_ready=False) == "b"
--- a/tests/routing/test_replica.py
+++ b/tests/routing/test_replica.py
@@ -1,4 +1,4 @@
-"""Tests of what an instance knows, how old it is, and what a peer may add."""
+"""Tests of the replica of the store's records, its age and merging with peers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 BOUNDS = RoutingBounds(revocation_s=5.0)
 
 
-def make_knowledge() -> StateReplica:
+def make_replica() -> StateReplica:
     return StateReplica(bounds=BOUNDS)
 
 
@@ -36,116 +36,116 @@
     )
 
 
-def test_never_go_back_to_an_older_configuration() -> None:
-    """A late answer or a peer that is behind brings an older configuration.
+def test_older_configuration_is_ignored() -> None:
+    """A late response or a peer that is behind brings an older configuration.
 
-    A key that was already taken away here would be honoured again.
+    Applied, it would restore a key that was revoked.
     """
-    knowledge = make_knowledge()
-    assert knowledge.apply_configuration(configure(5))
-    assert not knowledge.apply_configuration(configure(4))
-    assert not knowledge.apply_configuration(configure(5))
-    assert knowledge.table is not None
-    assert knowledge.table.configuration.version == 5
+    replica = make_replica()
+    assert replica.apply_configuration(configure(5))
+    assert not replica.apply_configuration(configure(4))
+    assert not replica.apply_configuration(configure(5))
+    assert replica.table is not None
+    assert replica.table.configuration.version == 5
 
 
-def test_count_age_from_the_question() -> None:
-    """The store's answer was under way for three seconds, or this machine suspended.
+def test_age_counts_from_the_request() -> None:
+    """The store's response takes three seconds, or the machine is suspended.
 
-    A key may have been taken away right after the question; the age says so.
+    A key may have been revoked right after the request, so the age includes that time.
     """
-    knowledge = make_knowledge()
-    knowledge.record_operators_read(end=1, requested_at=10.0)
-    assert knowledge.operators_age(13.0) == 3.0
-    assert knowledge.is_fresh(14.4)
-    assert not knowledge.is_fresh(14.6)
-
-
-def test_take_a_peers_age_only_with_its_records() -> None:
-    """A peer has read further: its word is no news of what stands there."""
-    knowledge = make_knowledge()
-    knowledge.record_operators_read(end=1, requested_at=0.0)
-    knowledge.freshness.hear(head_age_s=0.5, read_offset=2, asked_at=10.0)
-    assert knowledge.operators_age(10.0) == 10.0
-    peer = make_knowledge()
+    replica = make_replica()
+    replica.record_operators_read(end=1, requested_at=10.0)
+    assert replica.operators_age(13.0) == 3.0
+    assert replica.is_fresh(14.4)
+    assert not replica.is_fresh(14.6)
+
+
+def test_peer_age_counts_only_with_its_records() -> None:
+    """A peer that has read further reports an age that does not cover older records."""
+    replica = make_replica()
+    replica.record_operators_read(end=1, requested_at=0.0)
+    replica.freshness.hear(head_age_s=0.5, read_offset=2, asked_at=10.0)
+    assert replica.operators_age(10.0) == 10.0
+    peer = make_replica()
     peer.apply_configuration(configure(7))
     peer.record_operators_read(end=2, requested_at=9.0)
-    knowledge.merge(peer.snapshot(10.0, known_end=1), requested_at=10.0, now=10.1)
-    assert knowledge.operators_age(10.0) == 0.5
-    assert knowledge.table is not None
-    assert knowledge.table.configuration.version == 7
+    replica.merge(peer.snapshot(10.0, known_end=1), requested_at=10.0, now=10.1)
+    assert replica.operators_age(10.0) == 0.5
+    assert replica.table is not None
+    assert replica.table.configuration.version == 7
 
 
-def test_leave_the_configuration_out_for_whoever_has_it() -> None:
-    peer = make_knowledge()
+def test_snapshot_omits_configuration_that_the_peer_has() -> None:
+    peer = make_replica()
     peer.apply_configuration(configure(7))
     peer.record_operators_read(end=2, requested_at=9.0)
     assert peer.snapshot(10.0, known_end=2).configuration is None
-    knowledge = make_knowledge()
-    knowledge.merge(peer.snapshot(10.0, known_end=2), requested_at=10.0, now=10.0)
-    assert knowledge.operators_end == 0
-    assert knowledge.table is None
+    replica = make_replica()
+    replica.merge(peer.snapshot(10.0, known_end=2), requested_at=10.0, now=10.0)
+    assert replica.operators_end == 0
+    assert replica.table is None
 
 
-def test_keep_a_leaving_backend_server_leaving() -> None:
-    knowledge = make_knowledge()
-    knowledge.apply_backend(backend("b1"))
-    assert knowledge.apply_backend(backend("b1", leaving=True))
-    assert not knowledge.apply_backend(backend("b1"))
-    assert knowledge.backends["b1"].leaving
+def test_leaving_backend_server_stays_leaving() -> None:
+    replica = make_replica()
+    replica.apply_backend(backend("b1"))
+    assert replica.apply_backend(backend("b1", leaving=True))
+    assert not replica.apply_backend(backend("b1"))
+    assert replica.backends["b1"].leaving
 
 
-def test_drop_a_backend_server_at_once_while_the_store_is_well() -> None:
-    knowledge = make_knowledge()
-    for moment in (0.0, 1.0, 2.0, 3.0, 4.0):
-        knowledge.record_backends_read(end=1, requested_at=moment, now=moment)
-    knowledge.apply_backend(backend("b1"))
-    knowledge.remove_backend("b1", 4.1)
-    assert not knowledge.backends
+def test_remove_backend_server_at_once_while_store_is_available() -> None:
+    replica = make_replica()
+    for read_at in (0.0, 1.0, 2.0, 3.0, 4.0):
+        replica.record_backends_read(end=1, requested_at=read_at, now=read_at)
+    replica.apply_backend(backend("b1"))
+    replica.remove_backend("b1", 4.1)
+    assert not replica.backends
 
 
-def test_hold_backend_servers_whose_records_lapsed_with_the_store() -> None:
-    """The store was away for ten seconds and every record lapsed.
+def test_keep_backend_servers_whose_records_lapsed_in_an_outage() -> None:
+    """The store was unavailable for ten seconds and every record lapsed.
 
-    They return within two seconds. Dropped at once, live servers would get no work;
-    what has not returned by then is gone.
+    Records reappear within two seconds. Removed at once, live servers would get no
+    requests; servers that have not reappeared by then are removed.
     """
-    knowledge = make_knowledge()
-    knowledge.apply_backend(backend("b1"))
-    knowledge.apply_backend(backend("b2"))
-    knowledge.record_backends_read(end=1, requested_at=0.0, now=0.0)
-    knowledge.record_backends_read(end=4, requested_at=10.0, now=10.0)
-    knowledge.remove_backend("b1", 10.0)
-    knowledge.remove_backend("b2", 10.0)
-    assert set(knowledge.backends) == {"b1", "b2"}
-    knowledge.apply_backend(backend("b2"))
-    knowledge.expire_lapsed(10.0 + LAPSED_RECORD_GRACE_S + 0.1)
-    assert set(knowledge.backends) == {"b2"}
-
-
-def test_take_over_a_peers_list_only_when_it_read_as_far() -> None:
-    knowledge = make_knowledge()
-    for moment in (0.0, 1.0, 2.0, 3.0, 4.0):
-        knowledge.record_backends_read(end=9, requested_at=moment, now=moment)
-    knowledge.apply_backend(backend("b1"))
-    peer = make_knowledge()
+    replica = make_replica()
+    replica.apply_backend(backend("b1"))
+    replica.apply_backend(backend("b2"))
+    replica.record_backends_read(end=1, requested_at=0.0, now=0.0)
+    replica.record_backends_read(end=4, requested_at=10.0, now=10.0)
+    replica.remove_backend("b1", 10.0)
+    replica.remove_backend("b2", 10.0)
+    assert set(replica.backends) == {"b1", "b2"}
+    replica.apply_backend(backend("b2"))
+    replica.expire_lapsed(10.0 + LAPSED_RECORD_GRACE_S + 0.1)
+    assert set(replica.backends) == {"b2"}
+
+
+def test_merge_backends_only_from_a_peer_that_read_as_far() -> None:
+    replica = make_replica()
+    for read_at in (0.0, 1.0, 2.0, 3.0, 4.0):
+        replica.record_backends_read(end=9, requested_at=read_at, now=read_at)
+    replica.apply_backend(backend("b1"))
+    peer = make_replica()
     peer.apply_backend(backend("b2"))
     peer.record_backends_read(end=8, requested_at=3.0, now=3.0)
-    knowledge.merge(peer.snapshot(4.0), requested_at=4.0, now=4.0)
-    assert set(knowledge.backends) == {"b1"}
+    replica.merge(peer.snapshot(4.0), requested_at=4.0, now=4.0)
+    assert set(replica.backends) == {"b1"}
     peer.record_backends_read(end=10, requested_at=4.0, now=4.0)
-    knowledge.merge(peer.snapshot(4.0), requested_at=4.0, now=4.0)
-    assert set(knowledge.backends) == {"b2"}
+    replica.merge(peer.snapshot(4.0), requested_at=4.0, now=4.0)
+    assert set(replica.backends) == {"b2"}
 
 
-def test_take_the_newer_of_two_orders() -> None:
-    knowledge = make_knowledge()
+def test_newer_order_replaces_older_one() -> None:
+    replica = make_replica()
     order = RolloutOrder(number=3, service="s", target="v2", time_limit_s=9.0)
-    assert knowledge.apply_order(order)
-    assert not knowledge.apply_order(order)
+    assert replica.apply_order(order)
+    assert not replica.apply_order(order)
     older = RolloutOrder(number=2, service="s", target="v9", time_limit_s=9.0)
-    assert not knowledge.apply_order(older)
-    assert knowledge.orders["s"].target == "v2"
+    assert not replica.apply_order(older)
+    assert replica.orders["s"].target == "v2"
 
 
 def start(started_ms: int, *, leaving: bool = False) -> BackendRecord:
@@ -155,41 +155,41 @@
     )
 
 
-def test_take_a_server_back_that_starts_again_under_its_id() -> None:
-    """A server says that it leaves, ends, and starts again with the same id.
+def test_server_may_restart_under_the_same_id() -> None:
+    """A server announces that it leaves, terminates, and restarts with the same id.
 
-    Its new start holds nothing of the old one: that it leaves included.
+    The new start inherits nothing from the old one, in particular not that it leaves.
     """
-    knowledge = make_knowledge()
-    knowledge.apply_backend(start(1, leaving=True))
-    assert not knowledge.apply_backend(start(1))
-    assert knowledge.apply_backend(start(2))
-    assert not knowledge.backends["s1"].leaving
+    replica = make_replica()
+    replica.apply_backend(start(1, leaving=True))
+    assert not replica.apply_backend(start(1))
+    assert replica.apply_backend(start(2))
+    assert not replica.backends["s1"].leaving
 
 
-def test_never_go_back_to_an_older_start_of_a_server() -> None:
-    """A late record of the start before, or a peer that is behind, names the old start.
+def test_older_start_of_a_server_is_ignored() -> None:
+    """A late record, or a peer that is behind, names an earlier start of a server.
 
-    Requests would go to an address that another server may have by now. That holds
-    also while its record is gone, and beside a record that names no start at all.
+    Requests would go to an address that another server may use by now. The newest start
+    is remembered while its record is gone, and also over records without a start time.
     """
-    knowledge = make_knowledge()
-    knowledge.apply_backend(start(2))
-    assert not knowledge.apply_backend(start(1))
-    knowledge.replace_backends([start(1, leaving=True)], 10.0)
-    assert knowledge.backends["s1"] == start(2)
-    knowledge.remove_backend("s1", 10.0)
-    assert not knowledge.apply_backend(start(1))
-    assert not knowledge.apply_backend(backend("s1"))
-    assert not knowledge.backends
-    assert knowledge.apply_backend(start(2))
-
-
-def test_forget_old_starts_within_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+    replica = make_replica()
+    replica.apply_backend(start(2))
+    assert not replica.apply_backend(start(1))
+    replica.replace_backends([start(1, leaving=True)], 10.0)
+    assert replica.backends["s1"] == start(2)
+    replica.remove_backend("s1", 10.0)
+    assert not replica.apply_backend(start(1))
+    assert not replica.apply_backend(backend("s1"))
+    assert not replica.backends
+    assert replica.apply_backend(start(2))
+
+
+def test_remembered_starts_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("baobabthread.routing.starts.MAX_STARTS", 2)
-    knowledge = make_knowledge()
+    replica = make_replica()
     for number in range(4):
         record = msgspec.structs.replace(start(5), id=f"s{number}")
-        knowledge.apply_backend(record)
-    assert not knowledge.apply_backend(msgspec.structs.replace(start(4), id="s3"))
-    assert knowledge.apply_backend(msgspec.structs.replace(start(4), id="s0"))
+        replica.apply_backend(record)
+    assert not replica.apply_backend(msgspec.structs.replace(start(4), id="s3"))
+    assert replica.apply_backend(msgspec.structs.replace(start(4), id="s0"))
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -1,4 +1,4 @@
-"""Tests of the look-up of routes and client accounts."""
+"""Tests of the lookup of routes and client accounts."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
         ("a.example", "", None),
     ],
 )
-def test_match_the_longest_prefix(host: str, path: str, name: str | None) -> None:
+def test_match_longest_prefix(host: str, path: str, name: str | None) -> None:
     table = make_table(
         make_route("a.example", "/x/"),
         make_route("a.example", "/x/y/"),
@@ -60,7 +60,7 @@
     assert (route.name if route else None) == name
 
 
-def test_find_the_account_of_each_of_its_keys() -> None:
+def test_authenticate_by_any_key_of_an_account() -> None:
     metro = Account(name="metro", keys=("k1", "k2"))
     table = make_table(accounts=(metro,))
     assert table.needs_keys
@@ -70,9 +70,9 @@
     assert not make_table().needs_keys
 
 
-def test_tell_the_shared_parts_of_a_prompt() -> None:
+def test_shared_parts_of_a_prompt() -> None:
     parts = tuple(PromptPart(id=i, tokens=t) for i, t in (("a", 5), ("b", 3), ("c", 2)))
     envelope = Envelope(request_id="r", prompt_parts=parts)
     assert (envelope.shared_part, envelope.shared_tokens) == ("b", 8)
-    lone = Envelope(request_id="r", prompt_parts=parts[:1])
-    assert (lone.shared_part, lone.shared_tokens) == (None, 0)
+    single = Envelope(request_id="r", prompt_parts=parts[:1])
+    assert (single.shared_part, single.shared_tokens) == (None, 0)
