--- a/src/baobabthread/routing/budget.py
+++ b/src/baobabthread/routing/budget.py
@@ -16,7 +16,7 @@
 the membership may differ."""
 SINGLE_INSTANCE_FRACTION = 0.425
 """Fraction of the fixed bound used by an instance whose settings name no others. If it
-is killed and restarted, it spends that fraction twice within a window."""
+is killed and restarted, it can spend that fraction twice within a window."""
 INITIAL_RETRIES = 1.0
 """Retries allowed in addition to the ratio, but never more than there were requests."""
 BUCKET_S = 0.1
--- a/src/baobabthread/routing/crashes.py
+++ b/src/baobabthread/routing/crashes.py
@@ -14,7 +14,8 @@
 
 MIN_CRASHES = 3
 """Crashes that one request must explain before it is quarantined. Two coincide by
-chance when several servers are lost in a row, and each further one costs a server."""
+chance when several servers are lost in a row, and each further one costs callers
+another server."""
 MIN_CRASHES_IF_AMBIGUOUS = 6
 """Crashes from which on all requests present at each of them are quarantined together.
 An innocent request does not get that far: its route limits its attempts, and one of
--- a/src/baobabthread/routing/deltas.py
+++ b/src/baobabthread/routing/deltas.py
@@ -27,8 +27,8 @@
 MAX_DELTAS = 16
 """Deltas kept, which covers some seconds of rapid changes."""
 MAX_DELTA_BYTES = 12_000
-"""Total size of the deltas sent to a peer. Larger ones would take seconds to reach
-twenty instances from one member on a slow link, and don't fit into a datagram."""
+"""Maximum total size of the deltas sent to a peer. Larger ones would take seconds to
+reach twenty instances from one member on a slow link, and don't fit into a datagram."""
 
 T = TypeVar("T")
 
--- a/src/baobabthread/routing/readers.py
+++ b/src/baobabthread/routing/readers.py
@@ -22,7 +22,8 @@
 DRAIN_FRACTION = 0.65
 """The same, of the bound within which a leaving backend server must be known."""
 FRESH_MARGIN_S = 2.0
-"""Margin below the revocation bound, for the instance to read the store itself."""
+"""Margin below the revocation bound, which leaves an instance time to read the store
+itself."""
 REQUEST_FRACTION = 0.27
 """Fraction of the age limit between two requests to a reader. A reader's own age is at
 most two thirds of the limit, which leaves time for a second request if a reply is
--- a/src/baobabthread/routing/replica.py
+++ b/src/baobabthread/routing/replica.py
@@ -227,11 +227,11 @@
             # to be told.
             record = msgspec.structs.replace(record, warmup_left_s=0.0)
         self._lapsed_until.pop(record.id, None)
-        known = self.backends.get(record.id)
-        if known == record or not self._starts.record_start(record):
+        old = self.backends.get(record.id)
+        if old == record or not self._starts.record_start(record):
             return False
-        is_same_start = known is not None and known.started_ms == record.started_ms
-        if known is not None and is_same_start and known.leaving and not record.leaving:
+        is_same_start = old is not None and old.started_ms == record.started_ms
+        if old is not None and is_same_start and old.leaving and not record.leaving:
             # A peer's records may be older than this replica. A backend server that has
             # announced that it leaves never revokes that within the same start.
             return False
@@ -241,8 +241,8 @@
 
     def record_warmup(self, record: BackendRecord, left_s: float, now: float) -> bool:
         """Record a cold server's warm-up time; return whether peers should be told."""
-        is_known = self.backends.get(record.id)
-        if is_known is None or is_known.incarnation != record.incarnation:
+        current = self.backends.get(record.id)
+        if current is None or current.incarnation != record.incarnation:
             return False
         if not self.cold_servers.record(record.incarnation, left_s, now):
             return False
