--- a/src/baobabthread/instance/clock.py
+++ b/src/baobabthread/instance/clock.py
@@ -1,4 +1,4 @@
-"""The clock of all decisions: it counts the time for which a machine is suspended."""
+"""The clock of all decisions, which includes the time of a machine's suspension."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def now() -> float:
-    """Return seconds since the machine started, suspension included.
+    """Return the seconds since the machine started, including suspension.
 
-    An instance that was suspended would otherwise take what it knew before for fresh
-    and serve a key that was taken away meanwhile.
+    Otherwise an instance that was suspended would treat its replica as fresh and accept
+    a key that was revoked in the meantime.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/baobabthread/instance/staleness.py
+++ b/src/baobabthread/instance/staleness.py
@@ -1,9 +1,9 @@
-"""Word among instances of who refuses keys because its knowledge is too old.
+"""Gossip on which instances reject keys because their replica is too old.
 
-What a member's description says of its age is as old as the last message from it,
-half a minute among sixty members: callers would not be sent to an instance that is
-fresh again, or that has just started, for as long. So whoever is stale says so itself,
-again and again, and is believed for a few seconds.
+The age in a member's description is as old as the last message from that member, half a
+minute with sixty members. Callers would not be sent to an instance for that long after
+it has become fresh again or has started. A stale instance therefore publishes its state
+repeatedly, and each report is valid for a few seconds.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 
 TOPIC = "stale"
 REPORT_INTERVAL_S = 1.5
-"""Time between two words of an instance that stays stale."""
+"""Interval between reports of an instance that remains stale."""
 REPORT_TTL_S = 3.5
-"""How long such a word counts: twice the time between two of them and a bit, as it
-takes some rounds of gossip to arrive."""
+"""Time for which a report is valid: slightly more than two intervals, since a report
+takes several rounds of gossip to arrive."""
 
 Publish = Callable[[str, msgspec.Struct], None]
 Received = Callable[[str], Iterator[GossipPayload]]
 
 
 class StalenessReport(msgspec.Struct, frozen=True, kw_only=True):
-    """Say whether the sender refuses keys."""
+    """Report whether the sender rejects keys."""
 
     is_stale: bool
     number: int
-    """Rises with each word, so that one that is repeated is news."""
+    """Increases with each report, so that a repeated one counts as new."""
 
 
 class _ReceivedReport(msgspec.Struct):
@@ -40,7 +40,7 @@
 
 
 class StalenessGossip:
-    """Say when this instance is stale, and remember who else said so of late."""
+    """Publish whether this instance is stale, and track the reports of others."""
 
     __slots__ = (
         "_number",
@@ -60,30 +60,30 @@
         self._was_stale = False
 
     def tick(self, *, is_stale: bool) -> None:
-        """Say what is due, and take in what others said."""
-        moment = now()
-        repeats = is_stale and moment - self._published_at >= REPORT_INTERVAL_S
-        if repeats or is_stale != self._was_stale:
+        """Publish this instance's state if due, and read the reports of others."""
+        now_s = now()
+        is_due = is_stale and now_s - self._published_at >= REPORT_INTERVAL_S
+        if is_due or is_stale != self._was_stale:
             self._was_stale = is_stale
-            self._published_at = moment
+            self._published_at = now_s
             self._number += 1
             self._publish(
                 TOPIC, StalenessReport(is_stale=is_stale, number=self._number)
             )
         for payload in self._received(TOPIC):
-            self._handle(payload, moment)
+            self._handle(payload, now_s)
 
     def is_stale(self, member: MemberInfo) -> bool:
-        """Tell whether a member said of late that it refuses keys."""
-        heard = self._reports.get(member.incarnation)
-        if heard is None or not heard.report.is_stale:
+        """Return whether a member's valid report says that it rejects keys."""
+        received = self._reports.get(member.incarnation)
+        if received is None or not received.report.is_stale:
             return False
-        return now() - heard.received_at < REPORT_TTL_S
+        return now() - received.received_at < REPORT_TTL_S
 
-    def _handle(self, payload: GossipPayload, moment: float) -> None:
-        known = self._reports.get(payload.origin)
-        word = msgspec.json.decode(payload.body, type=StalenessReport)
-        if known is None or word.number > known.report.number:
+    def _handle(self, payload: GossipPayload, now_s: float) -> None:
+        previous = self._reports.get(payload.origin)
+        report = msgspec.json.decode(payload.body, type=StalenessReport)
+        if previous is None or report.number > previous.report.number:
             self._reports[payload.origin] = _ReceivedReport(
-                report=word, received_at=moment
+                report=report, received_at=now_s
             )
--- a/src/baobabthread/instance/topicreaders.py
+++ b/src/baobabthread/instance/topicreaders.py
@@ -1,4 +1,4 @@
-"""Following the store: operators' records and backend servers' records."""
+"""Readers of the store's topics: operators' records and backend servers' records."""
 
 from __future__ import annotations
 
@@ -32,31 +32,32 @@
 from baobabthread.routing.warmup import MAX_WARMUP_S
 
 RESPONSE_TIMEOUT_S = 0.8
-"""Time for an answer beside the time that the store was told to wait."""
+"""Response timeout, in addition to the time that the store may hold a long poll."""
 RETRY_RESPONSE_TIMEOUT_S = 0.5
-"""The same after a call that failed, when an answer is urgent."""
+"""Response timeout after a failed call, when a response is urgent."""
 POLL_INTERVAL_S = 0.1
-"""Pause between looks at whether a peer's word still suffices."""
+"""Interval between checks whether the reports of peers still suffice."""
 MIN_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 0.5
-"""Pause between calls that fail: many instances that ask a store that is just back
-must not take it down again, and no reader may be late by more than this."""
+"""Bounds of the back-off between failed calls: many instances must not overload a store
+that has just recovered, and no reader may be late by more than the upper bound."""
 BACKOFF_PER_MEMBER_S = 1 / 30
-"""Pause for each member at an instance that isn't a reader: all together they ask a
-store that is away 30 times a second, however many they are. Readers find out that it is
-back, and the others hear it from them."""
+"""Back-off per member for instances that aren't readers: together they send 30 calls a
+second to an unavailable store, regardless of their number. Readers detect that the
+store has recovered, and the others learn it from them."""
 FIRST_BACKOFF_FRACTION = 0.25
-"""Part of that pause after the first failure. Pauses that begin at a tenth of a second
-make half a dozen calls of each instance at the begin of every outage."""
+"""Fraction of the longest back-off after the first failure. A back-off that starts at a
+tenth of a second causes about six calls per instance at the start of every outage."""
 MIN_RELOAD_LAG = 2
-"""Records behind from which the newest of each key are read: of a row of large
-configurations only the last one counts, and a slow link would carry them all."""
+"""Number of records behind from which only the newest record of each key is read: of
+several large configurations only the last one matters, and reading all of them would
+occupy a slow link."""
 
 QueryPeer = Callable[[], Awaitable[None]]
 
 
 class TopicReader(abc.ABC):
-    """Read one topic to its end again and again."""
+    """Repeatedly read one topic of the store to its end."""
 
     def __init__(
         self,
@@ -98,7 +99,7 @@
         if self._next_offset is None:
             await self._read_newest()
             return
-        # A peer may have told what came since the last own read.
+        # A peer may have sent the records since this instance's last read.
         start = max(self._next_offset, self._known_end)
         if self._reported_end - start >= MIN_RELOAD_LAG:
             await self._read_newest()
@@ -106,14 +107,14 @@
             await self._read_tail(start)
 
     async def _read_newest(self) -> None:
-        asked_at = now()
+        requested_at = now()
         page = await self._store.newest(self._topic, self._response_timeout_s)
         self._apply_page(page)
         self._next_offset = page.end
-        self._record_read(page.end, asked_at)
+        self._record_read(page.end, requested_at)
 
     async def _read_tail(self, start: int) -> None:
-        asked_at = now()
+        requested_at = now()
         wait_s = 0.0 if self._failures else self._wait_s
         tail = await self._store.read(
             self._topic,
@@ -130,7 +131,7 @@
             self._apply_or_skip(record)
         self._next_offset = tail.next
         if tail.next >= tail.end:
-            self._record_read(tail.end, asked_at)
+            self._record_read(tail.end, requested_at)
 
     def _apply_page(self, page: Page) -> None:
         for record in page.records:
@@ -140,8 +141,8 @@
         try:
             self._apply(record)
         except (msgspec.MsgspecError, BaobabthreadError, RecursionError) as error:
-            # One record that can't be understood must not stop those behind it; what
-            # was known before stays in force.
+            # One unreadable record must not block the records after it; the previous
+            # state stays in force.
             log_event(
                 "record_unreadable",
                 level="error",
@@ -154,30 +155,30 @@
 
     @abc.abstractmethod
     def _skip(self, record: Record) -> None:
-        """Go on without a record that can't be understood."""
+        """Skip a record that can't be decoded."""
 
     @property
     @abc.abstractmethod
     def _must_read(self) -> bool:
-        """Tell whether peers don't suffice."""
+        """Whether the reports of peers don't suffice and the store has to be read."""
 
     @property
     @abc.abstractmethod
     def _known_end(self) -> int:
-        """Return how far the topic is known, by whomever."""
+        """Offset up to which the topic is known, from the store or from peers."""
 
     @property
     def _reported_end(self) -> int:
-        """Return how far the topic goes by a peer's word; 0 where nobody tells."""
+        """End of the topic as reported by peers; 0 if they don't report it."""
         return 0
 
     @abc.abstractmethod
     def _apply(self, record: Record) -> None:
-        """Take over one record."""
+        """Apply one record to the replica."""
 
     @abc.abstractmethod
-    def _record_read(self, end: int, asked_at: float) -> None:
-        """Note that the topic was read to its end."""
+    def _record_read(self, end: int, requested_at: float) -> None:
+        """Record that the topic was read to its end."""
 
     @abc.abstractmethod
     async def _wait(self) -> None:
@@ -207,31 +208,31 @@
 
     @property
     def _is_urgent(self) -> bool:
-        """Tell whether nobody else reads this for the instance.
+        """Whether this instance can't wait for others to read the topic.
 
-        A new configuration, or the first one after a start, must not wait for others.
+        A new configuration, or the first one after a start, must not wait for peers.
         """
-        relay = self._replica_sync
-        return relay.is_reader or relay.is_behind or self._replica.table is None
+        sync = self._replica_sync
+        return sync.is_reader or sync.is_behind or self._replica.table is None
 
     def _choose_backoff(self) -> float:
-        least, most = MIN_BACKOFF_S, MAX_BACKOFF_S
+        min_s, max_s = MIN_BACKOFF_S, MAX_BACKOFF_S
         if not self._replica_sync.is_reader:
-            most = max(most, BACKOFF_PER_MEMBER_S * self._replica_sync.members)
+            max_s = max(max_s, BACKOFF_PER_MEMBER_S * self._replica_sync.members)
         if not self._is_urgent:
-            least = max(least, FIRST_BACKOFF_FRACTION * most)
-        ceiling = min(most, least * 2.0 ** min(8, self._failures))
-        return ceiling * (0.5 + 0.5 * self._rng.random())
+            min_s = max(min_s, FIRST_BACKOFF_FRACTION * max_s)
+        limit_s = min(max_s, min_s * 2.0 ** min(8, self._failures))
+        return limit_s * (0.5 + 0.5 * self._rng.random())
 
 
 class OperatorTopicReader(TopicReader):
-    """Follow configurations and orders."""
+    """Follow configurations, roll-out orders and evacuations."""
 
     def __init__(self, *, formats: RecordFormat, **common: object) -> None:
         super().__init__(topic=formats.operators_topic, **common)  # type: ignore[arg-type]
         self._formats = formats
         self._evacuated: set[str] = set()
-        """Failure domains whose evacuation the page that is read now holds."""
+        """Failure domains that the current page lists as evacuated."""
 
     @property
     def _must_read(self) -> bool:
@@ -247,7 +248,8 @@
 
     @property
     def _wait_s(self) -> float:
-        # An instance that reads once, for a change or an age, needs the answer now.
+        # An instance that reads only for one change or to renew the age needs the
+        # response immediately.
         return (
             self._replica_sync.limits.long_poll_s
             if self._replica_sync.is_reader
@@ -255,7 +257,7 @@
         )
 
     async def _wait(self) -> None:
-        """Read on at once: the store itself holds a read that finds nothing."""
+        """Return at once: the store holds a read that finds no new records."""
 
     def _apply_page(self, page: Page) -> None:
         self._evacuated.clear()
@@ -277,36 +279,38 @@
             case Evacuation() as found:
                 self._apply_evacuation(found)
 
-    def _apply_evacuation(self, found: Evacuation) -> None:
-        if found.is_on:
-            self._evacuated.add(found.failure_domain)
-        if self._replica.apply_evacuation(found):
+    def _apply_evacuation(self, evacuation: Evacuation) -> None:
+        if evacuation.is_on:
+            self._evacuated.add(evacuation.failure_domain)
+        if self._replica.apply_evacuation(evacuation):
             log_event(
                 "evacuation_read",
-                failure_domain=found.failure_domain,
-                on=found.is_on,
-                offset=found.number,
+                failure_domain=evacuation.failure_domain,
+                on=evacuation.is_on,
+                offset=evacuation.number,
             )
 
-    def _apply_configuration(self, found: RoutingConfiguration, offset: int) -> None:
-        news = self._replica.apply_configuration(found)
+    def _apply_configuration(
+        self, configuration: RoutingConfiguration, offset: int
+    ) -> None:
+        is_new = self._replica.apply_configuration(configuration)
         log_event(
             "configuration_read",
-            version=found.version,
+            version=configuration.version,
             offset=offset,
-            news=news,
+            news=is_new,
             source="store",
         )
 
     def _skip(self, record: Record) -> None:
-        """Keep what is in force: it is the operators' last word that can be read."""
+        """Keep the state in force, the operators' last one that could be decoded."""
 
-    def _record_read(self, end: int, asked_at: float) -> None:
-        self._replica.record_operators_read(end=end, requested_at=asked_at)
+    def _record_read(self, end: int, requested_at: float) -> None:
+        self._replica.record_operators_read(end=end, requested_at=requested_at)
 
 
 class BackendTopicReader(TopicReader):
-    """Follow which backend servers live, leave and are gone."""
+    """Follow which backend servers are running, leaving or removed."""
 
     def __init__(self, *, formats: RecordFormat, **common: object) -> None:
         super().__init__(topic=formats.backends_topic, **common)  # type: ignore[arg-type]
@@ -361,9 +365,12 @@
             log_event("backend_cold", backend=backend.id, left_s=round(left_s, 3))
 
     def _skip(self, record: Record) -> None:
-        # Its newest record is somebody else's: what stood there before may be gone, and
-        # its address another server's. A live one writes again within a heartbeat.
+        # The server of the previous record may have terminated and its address may
+        # belong to another server by now. A live server writes again within a
+        # heartbeat.
         self._replica.discard_backend(record.key)
 
-    def _record_read(self, end: int, asked_at: float) -> None:
-        self._replica.record_backends_read(end=end, requested_at=asked_at, now=now())
+    def _record_read(self, end: int, requested_at: float) -> None:
+        self._replica.record_backends_read(
+            end=end, requested_at=requested_at, now=now()
+        )
--- a/tests/instance/test_replicasync.py
+++ b/tests/instance/test_replicasync.py
@@ -1,4 +1,4 @@
-"""Tests of who reads the store and what the others learn from them."""
+"""Tests of the choice of store readers and the synchronization of replicas."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Clock:
-    """Stand still until a test moves it on."""
+    """A clock that only advances when a test sets it."""
 
     def __init__(self) -> None:
         self.time = 100.0
@@ -32,27 +32,27 @@
 
 
 class Member:
-    """Hold one instance's relay and what it sent and fetched."""
+    """One instance's replica synchronization, recording what it sends and fetches."""
 
     def __init__(self, name: str, names: list[str]) -> None:
-        self.knowledge = StateReplica(bounds=RoutingBounds())
+        self.replica = StateReplica(bounds=RoutingBounds())
         self.sent: list[tuple[str, Any]] = []
         self.fetched: list[str] = []
-        self.relay = ReplicaSync(
+        self.sync = ReplicaSync(
             me=name,
-            replica=self.knowledge,
-            send=self._tell,
+            replica=self.replica,
+            send=self._send,
             fetch=self.fetched.append,
         )
-        self.relay.set_members(names)
+        self.sync.set_members(names)
 
-    def _tell(self, to: str, message: msgspec.Struct) -> None:
+    def _send(self, to: str, message: msgspec.Struct) -> None:
         self.sent.append((to, message))
 
     def read(self, end: int, at: float) -> None:
-        """Note that this instance read both topics itself."""
-        self.knowledge.record_operators_read(end=end, requested_at=at)
-        self.knowledge.record_backends_read(end=end, requested_at=at, now=at)
+        """Record that this instance has read both topics itself."""
+        self.replica.record_operators_read(end=end, requested_at=at)
+        self.replica.record_backends_read(end=end, requested_at=at, now=at)
 
 
 @pytest.fixture
@@ -63,47 +63,49 @@
 
 
 def make_members(count: int = 6) -> tuple[list[Member], list[Member]]:
-    """Return the readers and the others."""
+    """Return the readers and the other instances."""
     names = [f"i{number}" for number in range(count)]
     members = [Member(name, names) for name in names]
-    readers = [m for m in members if m.relay.is_reader]
-    return readers, [m for m in members if not m.relay.is_reader]
+    readers = [m for m in members if m.sync.is_reader]
+    return readers, [m for m in members if not m.sync.is_reader]
 
 
 @pytest.mark.parametrize(
     ("count", "readers"), [(1, 1), (6, 1), (61, 1), (195, 3), (400, 5)]
 )
-def test_let_few_read(clock: Clock, count: int, readers: int) -> None:
+def test_only_a_few_instances_read_the_store(
+    clock: Clock, count: int, readers: int
+) -> None:
     assert len(make_members(count)[0]) == readers
 
 
-def test_confirm_what_is_known_by_question_and_answer(clock: Clock) -> None:
+def test_reply_renews_the_age_of_the_replica(clock: Clock) -> None:
     readers, others = make_members()
     reader, member = readers[0], others[0]
     reader.read(5, clock.time)
     member.read(5, clock.time - 3)
-    member.relay.tick()
-    ((_, question),) = member.sent
+    member.sync.tick()
+    ((_, query),) = member.sent
     clock.time += 0.2
-    reader.relay.handle_query("member", question)
-    ((_, word),) = reader.sent
+    reader.sync.handle_query("member", query)
+    ((_, reply),) = reader.sent
     clock.time += 0.3
-    member.relay.handle_reply("reader", word)
-    # Counted from the question: the answer may have waited in a paused process.
-    assert member.knowledge.operators_age(clock.time) == pytest.approx(0.7, abs=0.002)
-    assert not member.relay.must_read_operators()
+    member.sync.handle_reply("reader", reply)
+    # Counted from the query: the reply may have waited in a suspended process.
+    assert member.replica.operators_age(clock.time) == pytest.approx(0.7, abs=0.002)
+    assert not member.sync.must_read_operators()
 
 
-def test_take_no_age_from_a_word_that_nobody_asked_for(clock: Clock) -> None:
-    """A reader's word lies in the socket of a suspended machine for four seconds.
+def test_unsolicited_reply_does_not_renew_the_age(clock: Clock) -> None:
+    """A reader's message waits in the socket of a suspended machine for four seconds.
 
-    Its ages look fresh when it is read at last; a key taken away meanwhile would be
-    honoured.
+    Its ages look fresh when it is finally read, so a key revoked in the meantime would
+    still be accepted.
     """
     _, others = make_members()
     member = others[0]
     member.read(5, clock.time - 10)
-    word = ReplicaReply(
+    reply = ReplicaReply(
         sequence=0,
         operators_end=5,
         operators_age_s=0.1,
@@ -111,19 +113,19 @@
         backends_changed_at=5,
         backends_age_s=0.1,
     )
-    member.relay.handle_reply("reader", word)
-    assert member.knowledge.operators_age(clock.time) == 10.0
+    member.sync.handle_reply("reader", reply)
+    assert member.replica.operators_age(clock.time) == 10.0
 
 
-def test_fetch_what_changed(clock: Clock) -> None:
+def test_fetch_a_snapshot_for_changes_not_in_the_reply(clock: Clock) -> None:
     readers, others = make_members()
     reader, member = readers[0], others[0]
     member.read(5, clock.time)
     reader.read(5, clock.time)
-    reader.relay.handle_query("member", ReplicaQuery(sequence=1))
-    reader.relay.tick()
+    reader.sync.handle_query("member", ReplicaQuery(sequence=1))
+    reader.sync.tick()
     reader.sent.clear()
-    reader.knowledge.apply_backend(
+    reader.replica.apply_backend(
         BackendRecord(
             id="b1",
             service="s",
@@ -134,24 +136,24 @@
         )
     )
     reader.read(6, clock.time)
-    reader.relay.tick()
-    ((to, word),) = reader.sent
+    reader.sync.tick()
+    ((to, reply),) = reader.sent
     assert to == "member"
-    member.relay.handle_reply("reader", word)
+    member.sync.handle_reply("reader", reply)
     assert member.fetched == ["reader"]
 
 
 def test_read_a_new_configuration_from_the_store(clock: Clock) -> None:
-    """Operators add a thousand routes, and the reader sits on a slow link.
+    """Operators add a thousand routes, and the reader is on a slow link.
 
-    Twenty instances that fetched it there would have it after ten seconds; the change
-    is due within three.
+    Twenty instances that fetched the configuration from the reader would have it after
+    ten seconds; the change is due within three.
     """
     _, others = make_members()
     member = others[0]
     member.read(5, clock.time)
-    assert not member.relay.must_read_operators()
-    word = ReplicaReply(
+    assert not member.sync.must_read_operators()
+    reply = ReplicaReply(
         sequence=0,
         operators_end=6,
         operators_age_s=0.1,
@@ -159,76 +161,79 @@
         backends_changed_at=5,
         backends_age_s=0.1,
     )
-    member.relay.handle_reply("reader", word)
-    assert member.relay.must_read_operators()
+    member.sync.handle_reply("reader", reply)
+    assert member.sync.must_read_operators()
     assert member.fetched == []
     member.read(6, clock.time)
-    assert not member.relay.must_read_operators()
+    assert not member.sync.must_read_operators()
 
 
 def find_roles(count: int) -> tuple[Member, list[Member], list[Member]]:
-    """Return the reader, those that stand by for it, and all others."""
+    """Return the reader, its standbys and all other instances."""
     readers, others = make_members(count)
-    by_name = {member.relay._me: member for member in others}
-    sources = ReaderAssignment(me="-", names=[f"i{number}" for number in range(count)])
-    standbys = [by_name.pop(name) for name in sources.standbys]
+    by_name = {member.sync._me: member for member in others}
+    assignment = ReaderAssignment(
+        me="-", names=[f"i{number}" for number in range(count)]
+    )
+    standbys = [by_name.pop(name) for name in assignment.standbys]
     return readers[0], standbys, list(by_name.values())
 
 
-def stay_silent(clock: Clock, member: Member) -> float:
-    """Answer nothing until a member reads itself; return after how long."""
+def wait_without_replies(clock: Clock, member: Member) -> float:
+    """Send no reply until a member reads the store itself; return the seconds."""
     began = clock.time
     member.read(5, clock.time)
-    while not member.relay.must_read_operators():
+    while not member.sync.must_read_operators():
         clock.time += 0.05
-        member.relay.tick()
+        member.sync.tick()
         assert clock.time < began + 5.0
     return clock.time - began
 
 
 def test_read_the_store_when_the_reader_is_silent(clock: Clock) -> None:
-    """The reader is cut off right before a change that is due in two seconds.
+    """The reader is disconnected right before a change that is due in two seconds.
 
-    A standby reads as soon as two questions went unanswered, before anybody else's
-    knowledge has grown too old; who hears nothing of it either reads a little later.
+    A standby reads after two unanswered queries, before any other replica has become
+    too old; an instance that gets no reply from the standby either reads a little
+    later.
     """
     _, standbys, others = find_roles(6)
-    assert stay_silent(clock, standbys[0]) < 1.0
+    assert wait_without_replies(clock, standbys[0]) < 1.0
     member = others[0]
-    assert 1.5 <= stay_silent(clock, member) < 1.75
+    assert 1.5 <= wait_without_replies(clock, member) < 1.75
     asked = {to for to, _ in member.sent}
     reader, standbys, _ = find_roles(6)
-    assert {reader.relay._me, *(s.relay._me for s in standbys)} <= asked
+    assert {reader.sync._me, *(s.sync._me for s in standbys)} <= asked
 
 
-def test_take_turns_when_nobody_is_fresh(clock: Clock) -> None:
-    """The store turns all readers away; two hundred instances must not ask at once."""
+def test_stagger_reads_when_no_replica_is_fresh(clock: Clock) -> None:
+    """The store rejects all readers; 195 instances must not call it all at once."""
     _, _, others = find_roles(195)
-    times = sorted(round(stay_silent(clock, member), 2) for member in others)
+    times = sorted(round(wait_without_replies(clock, member), 2) for member in others)
     assert times[-1] - times[0] > 0.5
 
 
-def test_know_nobody_yet(clock: Clock) -> None:
-    """All instances start in the same moment and know nobody for half a second.
+def test_do_not_read_for_others_before_discovery(clock: Clock) -> None:
+    """All instances start together and need half a second to discover each other.
 
-    Each that took itself for the only one would read twice a second for all others.
+    Each one that assumed to be alone would read twice a second on behalf of all others.
     """
-    knowledge = StateReplica(bounds=RoutingBounds())
-    relay = ReplicaSync(
+    replica = StateReplica(bounds=RoutingBounds())
+    sync = ReplicaSync(
         me="i0",
-        replica=knowledge,
+        replica=replica,
         send=lambda to, message: None,
         fetch=lambda name: None,
         has_seeds=True,
     )
-    knowledge.record_operators_read(end=5, requested_at=clock.time)
-    assert not relay.must_read_operators()
+    replica.record_operators_read(end=5, requested_at=clock.time)
+    assert not sync.must_read_operators()
     clock.time += 3.0
-    assert relay.is_reader
+    assert sync.is_reader
 
 
 def change_backend(member: Member, number: int, *, leaving: bool = False) -> None:
-    """Let a reader read the record of one backend server."""
+    """Apply the record of one backend server to a member's replica."""
     record = BackendRecord(
         id=f"b{number}",
         service="s",
@@ -238,13 +243,13 @@
         capacity=1,
         leaving=leaving,
     )
-    member.knowledge.apply_backend(record)
+    member.replica.apply_backend(record)
 
 
-def test_tell_changes_one_by_one(clock: Clock) -> None:
-    """Backend servers leave one after the other before two hundred instances.
+def test_send_only_the_changed_records(clock: Clock) -> None:
+    """Backend servers leave one after the other in a system of two hundred instances.
 
-    With the whole list fetched by all for each, ten changes were 20 MB.
+    If all instances fetched the full list for each change, ten changes took 20 MB.
     """
     readers, others = make_members()
     reader, member = readers[0], others[0]
@@ -253,44 +258,45 @@
         change_backend(each, 2)
         each.read(5, clock.time)
     change_backend(reader, 1, leaving=True)
-    reader.knowledge.remove_backend("b2", clock.time + 5.0)
+    reader.replica.remove_backend("b2", clock.time + 5.0)
     reader.read(7, clock.time)
-    member.relay.tick()
-    ((_, question),) = member.sent
-    reader.relay.handle_query("member", question)
-    ((_, word),) = reader.sent
-    assert [record.id for record in word.changed] == ["b1"]
-    assert word.gone == ["b2"]
+    member.sync.tick()
+    ((_, query),) = member.sent
+    reader.sync.handle_query("member", query)
+    ((_, reply),) = reader.sent
+    assert [record.id for record in reply.changed] == ["b1"]
+    assert reply.gone == ["b2"]
     clock.time += 5.0
-    member.relay.handle_reply("reader", word)
-    member.knowledge.expire_lapsed(clock.time)
+    member.sync.handle_reply("reader", reply)
+    member.replica.expire_lapsed(clock.time)
     assert member.fetched == []
-    assert member.knowledge.backends["b1"].leaving
-    assert set(member.knowledge.backends) == {"b1"}
-    assert member.knowledge.backends_end == 7
+    assert member.replica.backends["b1"].leaving
+    assert set(member.replica.backends) == {"b1"}
+    assert member.replica.backends_end == 7
 
 
-def ask(member: Member, reader: Member) -> ReplicaReply:
-    """Let a member ask a reader and take in the answer; return it."""
+def query_reader(member: Member, reader: Member) -> ReplicaReply:
+    """Let a member query a reader and apply the reply; return the reply."""
     member.sent.clear()
     reader.sent.clear()
-    member.relay._queried_at = -1e9
-    member.relay.tick()
-    ((_, question),) = member.sent
-    reader.relay.handle_query("member", question)
-    ((_, word),) = reader.sent
-    assert isinstance(word, ReplicaReply)
-    member.relay.handle_reply("reader", word)
-    return word
+    member.sync._queried_at = -1e9
+    member.sync.tick()
+    ((_, query),) = member.sent
+    reader.sync.handle_query("member", query)
+    ((_, reply),) = reader.sent
+    assert isinstance(reply, ReplicaReply)
+    member.sync.handle_reply("reader", reply)
+    return reply
 
 
 @pytest.mark.parametrize("by_list", [False, True])
-def test_tell_of_a_server_that_is_dropped_late(clock: Clock, by_list: bool) -> None:
+def test_pass_on_a_delayed_removal(clock: Clock, by_list: bool) -> None:
     """A server crashes and its record lapses while the reader's reads are slow.
 
-    The reader keeps it for two seconds, as records lapse with a store that is away, and
-    tells others that it has read as far. Dropped then, it changed at an offset that all
-    of them know: nobody was told, and all but the reader sent work there for good.
+    The reader keeps the server for two seconds, since records also lapse when the store
+    is unavailable, and reports the end that it has read. If the later removal counted
+    at an offset that the other instances already know, none of them would receive it,
+    and all but the reader would keep sending requests to the server.
     """
     readers, others = make_members()
     reader, member = readers[0], others[0]
@@ -300,28 +306,28 @@
         each.read(5, clock.time)
     clock.time += STORE_OUTAGE_GAP_S + 0.5
     reader.read(5, clock.time)
-    reader.knowledge.remove_backend("b2", clock.time)
+    reader.replica.remove_backend("b2", clock.time)
     reader.read(7, clock.time)
     if by_list:
-        snapshot = reader.knowledge.snapshot(clock.time)
-        member.knowledge.merge(snapshot, requested_at=clock.time, now=clock.time)
+        snapshot = reader.replica.snapshot(clock.time)
+        member.replica.merge(snapshot, requested_at=clock.time, now=clock.time)
     else:
-        ask(member, reader)
-    assert "b2" in reader.knowledge.backends
-    assert "b2" in member.knowledge.backends
+        query_reader(member, reader)
+    assert "b2" in reader.replica.backends
+    assert "b2" in member.replica.backends
     clock.time += LAPSED_RECORD_GRACE_S + 0.1
-    reader.knowledge.expire_lapsed(clock.time)
+    reader.replica.expire_lapsed(clock.time)
     reader.read(7, clock.time)
-    ask(member, reader)
-    assert set(reader.knowledge.backends) == {"b1"}
-    member.knowledge.expire_lapsed(clock.time + LAPSED_RECORD_GRACE_S + 0.1)
-    assert set(member.knowledge.backends) == {"b1"}
+    query_reader(member, reader)
+    assert set(reader.replica.backends) == {"b1"}
+    member.replica.expire_lapsed(clock.time + LAPSED_RECORD_GRACE_S + 0.1)
+    assert set(member.replica.backends) == {"b1"}
     assert member.fetched == []
-    assert ask(member, reader).gone == []
+    assert query_reader(member, reader).gone == []
 
 
-def test_pass_on_what_came_while_a_drop_was_open(clock: Clock) -> None:
-    """Another server changes while one is kept; a third instance asks the second."""
+def test_pass_on_a_change_while_a_removal_is_pending(clock: Clock) -> None:
+    """Another server changes in the meantime; a third instance queries the second."""
     readers, others = make_members()
     reader, member, third = readers[0], others[0], others[1]
     for each in (reader, member, third):
@@ -330,36 +336,36 @@
         each.read(5, clock.time)
     clock.time += STORE_OUTAGE_GAP_S + 0.5
     reader.read(5, clock.time)
-    reader.knowledge.remove_backend("b2", clock.time)
+    reader.replica.remove_backend("b2", clock.time)
     change_backend(reader, 1, leaving=True)
     reader.read(7, clock.time)
-    ask(member, reader)
-    assert member.knowledge.backends["b1"].leaving
-    ask(third, member)
-    assert third.knowledge.backends["b1"].leaving
+    query_reader(member, reader)
+    assert member.replica.backends["b1"].leaving
+    query_reader(third, member)
+    assert third.replica.backends["b1"].leaving
 
 
-def test_fetch_all_from_who_can_not_tell_each_change(clock: Clock) -> None:
-    """A reader that has just started knows the list, and not what came before it."""
+def test_fetch_a_snapshot_from_a_reader_without_history(clock: Clock) -> None:
+    """A reader that has just started knows the list but not the changes before it."""
     readers, others = make_members()
     reader, member = readers[0], others[0]
     member.read(5, clock.time)
     change_backend(reader, 1)
     reader.read(9, clock.time)
-    member.relay.tick()
-    ((_, question),) = member.sent
-    reader.relay.handle_query("member", question)
-    ((_, word),) = reader.sent
-    member.relay.handle_reply("reader", word)
+    member.sync.tick()
+    ((_, query),) = member.sent
+    reader.sync.handle_query("member", query)
+    ((_, reply),) = reader.sent
+    member.sync.handle_reply("reader", reply)
     assert member.fetched == ["reader"]
-    assert member.knowledge.backends_end == 5
+    assert member.replica.backends_end == 5
 
 
-def test_ask_others_when_the_readers_are_stale(clock: Clock) -> None:
-    """The store turns both readers away and serves the other instances.
+def test_query_other_members_when_the_readers_are_stale(clock: Clock) -> None:
+    """The store rejects the readers and serves the other instances.
 
-    An instance that is turned away too, and asks the readers alone, would refuse every
-    key though most instances know them.
+    An instance that is rejected as well and queried only the readers would reject every
+    key although most instances know the keys.
     """
     _, others = make_members()
     member = others[0]
@@ -367,17 +373,17 @@
     asked = set()
     for _ in range(120):
         clock.time += 0.05
-        member.relay.tick()
-        for to, question in member.sent:
+        member.sync.tick()
+        for to, query in member.sent:
             asked.add(to)
             stale = ReplicaReply(
-                sequence=question.sequence,
+                sequence=query.sequence,
                 operators_end=5,
                 operators_age_s=clock.time - 100.0,
                 backends_end=5,
                 backends_changed_at=5,
                 backends_age_s=clock.time - 100.0,
             )
-            member.relay.handle_reply(to, stale)
+            member.sync.handle_reply(to, stale)
         member.sent.clear()
     assert len(asked) == 5
--- a/tests/instance/test_staleness.py
+++ b/tests/instance/test_staleness.py
@@ -1,4 +1,4 @@
-"""Tests of who is believed to refuse keys."""
+"""Tests of the gossip on stale instances."""
 
 from __future__ import annotations
 
@@ -24,63 +24,63 @@
 
 
 class Pair:
-    """Let one instance speak and another one listen, on one clock."""
+    """A publishing and a receiving instance that share a clock."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.time = 100.0
-        self.words: list[GossipPayload] = []
+        self.reports: list[GossipPayload] = []
         monkeypatch.setattr(staleness, "now", lambda: self.time)
-        self.speaker = StalenessGossip(
+        self.publisher = StalenessGossip(
             publish=self._publish, received=lambda topic: iter(())
         )
-        self.listener = StalenessGossip(
-            publish=lambda topic, word: None,
-            received=lambda topic: iter(self.words[-1:]),
+        self.receiver = StalenessGossip(
+            publish=lambda topic, message: None,
+            received=lambda topic: iter(self.reports[-1:]),
         )
 
-    def _publish(self, topic: str, word: msgspec.Struct) -> None:
-        self.words.append(
+    def _publish(self, topic: str, message: msgspec.Struct) -> None:
+        self.reports.append(
             GossipPayload(
                 topic=topic,
                 origin=OTHER.incarnation,
-                sequence=len(self.words),
-                body=msgspec.Raw(msgspec.json.encode(word)),
+                sequence=len(self.reports),
+                body=msgspec.Raw(msgspec.json.encode(message)),
             )
         )
 
     def run(self, seconds: float, *, is_stale: bool) -> None:
         for _ in range(round(seconds / 0.1)):
             self.time += 0.1
-            self.speaker.tick(is_stale=is_stale)
-            self.listener.tick(is_stale=False)
+            self.publisher.tick(is_stale=is_stale)
+            self.receiver.tick(is_stale=False)
 
 
-def test_say_nothing_while_fresh(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_publish_nothing_while_fresh(monkeypatch: pytest.MonkeyPatch) -> None:
     pair = Pair(monkeypatch)
     pair.run(5.0, is_stale=False)
-    assert not pair.words
-    assert not pair.listener.is_stale(OTHER)
+    assert not pair.reports
+    assert not pair.receiver.is_stale(OTHER)
 
 
-def test_believe_who_says_again_that_it_is_stale(
+def test_repeat_reports_while_stale(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     pair = Pair(monkeypatch)
     pair.run(10.0, is_stale=True)
-    assert len(pair.words) == pytest.approx(10.0 / REPORT_INTERVAL_S, abs=1)
-    assert pair.listener.is_stale(OTHER)
+    assert len(pair.reports) == pytest.approx(10.0 / REPORT_INTERVAL_S, abs=1)
+    assert pair.receiver.is_stale(OTHER)
     pair.run(0.2, is_stale=False)
-    assert not pair.listener.is_stale(OTHER)
+    assert not pair.receiver.is_stale(OTHER)
 
 
-def test_forget_an_old_word(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An instance is fresh again, and the word of it is lost on the way.
+def test_expire_an_old_report(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An instance becomes fresh again, and its report of that is lost.
 
-    Left out of the addresses for good, it would serve nobody for the rest of the day.
+    If the old report stayed valid, callers would never be sent to the instance again.
     """
     pair = Pair(monkeypatch)
     pair.run(1.0, is_stale=True)
     for _ in range(round(REPORT_TTL_S / 0.1) + 1):
         pair.time += 0.1
-        pair.listener.tick(is_stale=False)
-    assert not pair.listener.is_stale(OTHER)
+        pair.receiver.tick(is_stale=False)
+    assert not pair.receiver.is_stale(OTHER)
