--- a/src/baobabthread/instance/canaries.py
+++ b/src/baobabthread/instance/canaries.py
@@ -1,8 +1,8 @@
-"""Word of a version on trial, from all instances to the one that leads its roll-out.
+"""Reports on a canary version, from all instances to the leader of its roll-out.
 
-Spread by gossip, the counts of two hundred instances go to all of them a dozen times
-over, three megabytes a second; one that leads and one that would follow it are enough.
-What they conclude goes to all.
+By gossip, the counts of two hundred instances would reach each of them a dozen times,
+at three megabytes a second. They are therefore sent only to the leader and the instance
+next in line. The leader's verdicts are sent to all.
 """
 
 from __future__ import annotations
@@ -20,38 +20,38 @@
 from baobabthread.routing.progress import Progress
 
 LEADER_COUNT = 2
-"""Instances that are told: the one that leads, and the next one should it be lost."""
+"""Instances that receive reports: the leader, and the next one in case it fails."""
 CANDIDATE_COUNT = 4
-"""Instances that are told while permits run out, the one that leads included: a third
-of all may not reach the store."""
+"""Instances that receive reports while permits are about to expire, including the
+leader: a third of all instances may be unable to reach the store."""
 RETRY_DELAY_S = 0.3
-"""Time after which a word without an answer is sent once more, if there were answers
-before: it may be lost, and among many instances the next one is due late."""
+"""Time after which an unanswered report is sent once more, if earlier ones were
+answered: it may be lost, and with many instances the next report is due late."""
 STANDBY_TERM_S = 2.0
-"""Time for which they lead as well after they were told of it."""
+"""Time for which standbys act as leader after a report that needs a permit."""
 RENEWAL_FRACTION = 0.5
-"""Part of a permit's time that is left when it is renewed, without news as well."""
+"""Remaining fraction of its lifetime at which a permit is renewed without changes."""
 MAX_EXPIRY_MARGIN_S = 0.9
-"""Time before the end of a permit from which on it runs out, at most: words that come
-seldom would call for the others each time."""
+"""Longest remaining lifetime at which a permit counts as about to expire: if it were
+longer, infrequent reports would involve the standbys each time."""
 MIN_REPORT_INTERVAL_S = 0.25
 REPORT_INTERVAL_PER_MEMBER_S = 1 / 200
-"""Time between two words, and what each member adds to it: a leader hears two hundred
-a second at most, some 1.5 % of a core while a roll-out lasts."""
+"""Interval between reports, and its increment per member: a leader receives at most two
+hundred reports a second, about 1.5 % of a core during a roll-out."""
 FINAL_INTERVAL_FRACTION = 0.25
-"""Part of that time while a version takes over: what fails then must be known before
-the old version is stopped."""
+"""Fraction of the interval in the final phase: failures in that phase must be known
+before the old version is stopped."""
 MAX_REPORT_INTERVAL_S = 1.5
 RESEND_INTERVAL_S = 2.0
-"""Time after which a word is sent again though nothing has changed: it may be lost, or
-another instance lead by now."""
+"""Time after which an unchanged report is sent again: it may be lost, or another
+instance may have become the leader."""
 VERDICT_SEND_COUNT = 3
 VERDICT_INTERVAL_S = 0.3
-"""How often, and how far apart, a conclusion is told to all."""
+"""Number of times a verdict is sent to all instances, and the interval between them."""
 
 
 class CanaryReport(msgspec.Struct, frozen=True, kw_only=True, tag="trial.word"):
-    """Tell the leader how far the sender is and what it has counted."""
+    """Report the sender's progress and counts to the leader."""
 
     origin: str
     """The sender's incarnation."""
@@ -59,21 +59,21 @@
     evidence: Evidence
     exposure: Exposure = Exposure()
     sent_at: float = 0.0
-    """Time on the sender's clock, which a permit brings back."""
+    """Time on the sender's clock, which a permit returns."""
     needs_permit: bool = False
-    """Whether the sender's permit is about to run out, or has."""
+    """Whether the sender's permit is about to expire or has expired."""
 
 
 class CanaryPermit(msgspec.Struct, frozen=True, kw_only=True, tag="trial.permit"):
-    """Let an instance go on with a trial: its word was heard and nothing is wrong."""
+    """Permit an instance to continue with a canary after its report was received."""
 
     progress: Progress
     sent_at: float
-    """The time of the word that it answers."""
+    """Time of the report that the permit answers."""
 
 
 class CanaryVerdict(msgspec.Struct, frozen=True, kw_only=True, tag="trial.verdict"):
-    """Tell all what the leader concludes."""
+    """Send the leader's conclusions to all instances."""
 
     progress: Progress
 
@@ -93,7 +93,7 @@
 
 
 class CanaryCoordinator:
-    """Send word to the leaders, and hold what others sent here."""
+    """Send reports to the leaders and keep the reports received from others."""
 
     __slots__ = (
         "_alive",
@@ -120,20 +120,20 @@
         self._sent_reports: dict[str, CanaryReport] = {}
         self._sent_at: dict[str, float] = {}
         self._permitted_at: dict[str, float] = {}
-        """When the newest word was sent that a permit has answered."""
+        """Send time of the newest report answered with a permit, by service."""
         self._resent_at: dict[str, float] = {}
-        """When the word was sent that was sent once more."""
+        """Time at which the last report was sent once more, by service."""
         self._permit_needed_at: dict[str, float] = {}
-        """When this instance was last told that permits run out."""
+        """Time of the last received report that needs a permit, by service."""
         self._reports: dict[str, dict[str, CanaryReport]] = {}
         self._verdicts: dict[str, _Verdict] = {}
         self.handle_verdict: HandleVerdict = lambda progress: None
         self.handle_permit: HandlePermit = lambda permit: None
         self.find_permit: FindPermit = lambda service, number: None
-        """Return what to permit about an order; nothing where this one can't tell."""
+        """Return the progress to permit for a service's order; None if unconfirmed."""
 
     def handle(self, sender: str, message: msgspec.Struct) -> None:
-        """Take in one of `CANARY_MESSAGES`."""
+        """Handle one of `CANARY_MESSAGES`."""
         match message:
             case CanaryReport():
                 self.handle_report(sender, message)
@@ -143,21 +143,21 @@
                 self.handle_verdict(message.progress)
 
     def set_members(self, names: Sequence[str]) -> None:
-        """Note which instances serve, this one included."""
+        """Update the names of the serving instances, including this one."""
         self._alive = list(names) or [self._me]
         self._candidates.clear()
 
     def leaders(self, service: str) -> list[str]:
-        """Return who leads the roll-outs of a service, and who would next."""
+        """Return the leader of a service's roll-outs and the instance next in line."""
         return self._list_candidates(service)[:LEADER_COUNT]
 
     def _list_candidates(self, service: str) -> list[str]:
-        found = self._candidates.get(service)
-        if found is None:
-            found = self._candidates[service] = rank(service, self._alive)[
+        candidates = self._candidates.get(service)
+        if candidates is None:
+            candidates = self._candidates[service] = rank(service, self._alive)[
                 :CANDIDATE_COUNT
             ]
-        return found
+        return candidates
 
     def _needs_permit(self, left_s: float) -> bool:
         return left_s < min(
@@ -165,71 +165,77 @@
         )
 
     def is_leader(self, service: str) -> bool:
-        """Tell whether this instance leads the roll-outs of a service."""
+        """Return whether this instance leads the roll-outs of a service."""
         return self.leaders(service)[:1] == [self._me]
 
     def reports(self, service: str, number: int) -> list[CanaryReport]:
-        """Return the newest word of each other instance about an order."""
-        words = self._reports.get(service, {})
-        return [word for word in words.values() if word.progress.number == number]
+        """Return the newest report of each other instance on an order."""
+        by_origin = self._reports.get(service, {})
+        return [
+            report for report in by_origin.values() if report.progress.number == number
+        ]
 
     def send_report(
         self, report: CanaryReport, *, permit_left_s: float = PERMIT_TTL_S
     ) -> None:
-        """Send word to the leaders when it is due, and news or a permit needs it.
+        """Send a report to the leaders if it is due.
 
-        `permit_s` are the seconds until the present permit runs out.
+        A report is due when something has changed or a permit has to be renewed.
+        `permit_left_s` is the time in seconds until the current permit expires.
         """
         needs_permit = self._needs_permit(permit_left_s)
         report = msgspec.structs.replace(report, needs_permit=needs_permit)
         service = report.progress.service
-        moment = now()
-        if self._needs_resend(service, moment):
-            self._resent_at[service] = moment
-        elif self._is_due(report, moment, permit_left_s):
+        now_s = now()
+        if self._needs_resend(service, now_s):
+            self._resent_at[service] = now_s
+        elif self._is_due(report, now_s, permit_left_s):
             self._resent_at.pop(service, None)
         else:
             return
-        report = msgspec.structs.replace(report, sent_at=moment)
+        report = msgspec.structs.replace(report, sent_at=now_s)
         self._sent_reports[service] = report
-        self._sent_at[service] = moment
-        most = CANDIDATE_COUNT if report.needs_permit else LEADER_COUNT
-        for name in self._list_candidates(service)[:most]:
+        self._sent_at[service] = now_s
+        count = CANDIDATE_COUNT if report.needs_permit else LEADER_COUNT
+        for name in self._list_candidates(service)[:count]:
             if name != self._me:
                 self._send(name, report)
 
-    def _is_due(self, word: CanaryReport, moment: float, permit_s: float) -> bool:
-        passed_s = moment - self._sent_at.get(word.progress.service, -1e9)
-        if word.needs_permit:
-            return passed_s >= RETRY_DELAY_S
-        pause_s = self._choose_interval()
-        if word.progress.is_final:
-            pause_s = max(MIN_REPORT_INTERVAL_S, FINAL_INTERVAL_FRACTION * pause_s)
-        if passed_s < pause_s:
+    def _is_due(self, report: CanaryReport, now_s: float, permit_left_s: float) -> bool:
+        elapsed_s = now_s - self._sent_at.get(report.progress.service, -1e9)
+        if report.needs_permit:
+            return elapsed_s >= RETRY_DELAY_S
+        interval_s = self._choose_interval()
+        if report.progress.is_final:
+            interval_s = max(
+                MIN_REPORT_INTERVAL_S, FINAL_INTERVAL_FRACTION * interval_s
+            )
+        if elapsed_s < interval_s:
             return False
-        is_old = (
-            passed_s >= RESEND_INTERVAL_S or permit_s < RENEWAL_FRACTION * PERMIT_TTL_S
+        is_renewal_due = (
+            elapsed_s >= RESEND_INTERVAL_S
+            or permit_left_s < RENEWAL_FRACTION * PERMIT_TTL_S
         )
-        return is_old or not self._is_unchanged(word)
+        return is_renewal_due or not self._is_unchanged(report)
 
-    def _needs_resend(self, service: str, moment: float) -> bool:
-        """Tell whether the newest word is to be sent once more."""
+    def _needs_resend(self, service: str, now_s: float) -> bool:
+        """Return whether the newest report has to be sent once more."""
         sent_at = self._sent_at.get(service)
-        answered_at = self._permitted_at.get(service)
-        if sent_at is None or answered_at is None or self.is_leader(service):
+        permitted_at = self._permitted_at.get(service)
+        if sent_at is None or permitted_at is None or self.is_leader(service):
             return False
-        if answered_at >= sent_at or sent_at == self._resent_at.get(service):
+        if permitted_at >= sent_at or sent_at == self._resent_at.get(service):
             return False
-        return moment - sent_at >= RETRY_DELAY_S
+        return now_s - sent_at >= RETRY_DELAY_S
 
     def record_permit(self, service: str, sent_at: float) -> None:
-        """Note which word of this instance was answered."""
+        """Record the send time of a report that was answered with a permit."""
         self._permitted_at[service] = max(
             sent_at, self._permitted_at.get(service, -1e9)
         )
 
     def acts_as_leader(self, service: str) -> bool:
-        """Tell whether this instance leads, or stands in for the one that does."""
+        """Return whether this instance is the leader or acts as its standby."""
         if self.is_leader(service):
             return True
         if self._me not in self._list_candidates(service):
@@ -237,7 +243,7 @@
         return now() - self._permit_needed_at.get(service, -1e9) < STANDBY_TERM_S
 
     def handle_report(self, sender: str, report: CanaryReport) -> None:
-        """Keep another instance's word, and let it go on if this one leads."""
+        """Store another instance's report, and send a permit if acting as leader."""
         self._store_report(report)
         service = report.progress.service
         if report.needs_permit:
@@ -248,22 +254,22 @@
         if progress is not None:
             self._send(sender, CanaryPermit(progress=progress, sent_at=report.sent_at))
 
-    def _store_report(self, word: CanaryReport) -> None:
-        service = word.progress.service
-        theirs = self._reports.setdefault(service, {})
-        known = theirs.get(word.origin)
-        if known is not None and known.progress.number > word.progress.number:
+    def _store_report(self, report: CanaryReport) -> None:
+        service = report.progress.service
+        by_origin = self._reports.setdefault(service, {})
+        previous = by_origin.get(report.origin)
+        if previous is not None and previous.progress.number > report.progress.number:
             return
-        theirs[word.origin] = word
+        by_origin[report.origin] = report
 
     def publish_verdict(self, progress: Progress) -> None:
-        """Tell all what this leader concludes, unless it did so before."""
-        known = self._verdicts.get(progress.service)
-        if known is not None and _is_same(known.progress, progress):
+        """Send this leader's conclusions to all instances, unless already sent."""
+        previous = self._verdicts.get(progress.service)
+        if previous is not None and _is_equivalent(previous.progress, progress):
             return
-        is_news = progress.alarm or progress.is_suspicious or progress.is_final
+        is_notable = progress.alarm or progress.is_suspicious or progress.is_final
         has_ended = progress.state is not RolloutState.RUNNING
-        if known is None and not is_news and not has_ended:
+        if previous is None and not is_notable and not has_ended:
             return
         self._verdicts[progress.service] = _Verdict(
             progress=progress, send_count=0, sent_at=-1e9
@@ -271,16 +277,16 @@
         self.tick()
 
     def tick(self) -> None:
-        """Tell conclusions again, as datagrams get lost."""
-        moment = now()
+        """Send verdicts again, since datagrams may be lost."""
+        now_s = now()
         for verdict in self._verdicts.values():
             if (
                 verdict.send_count >= VERDICT_SEND_COUNT
-                or moment - verdict.sent_at < VERDICT_INTERVAL_S
+                or now_s - verdict.sent_at < VERDICT_INTERVAL_S
             ):
                 continue
             verdict.send_count += 1
-            verdict.sent_at = moment
+            verdict.sent_at = now_s
             for name in self._alive:
                 if name != self._me:
                     self._send(name, CanaryVerdict(progress=verdict.progress))
@@ -291,21 +297,26 @@
             max(MIN_REPORT_INTERVAL_S, REPORT_INTERVAL_PER_MEMBER_S * len(self._alive)),
         )
 
-    def _is_unchanged(self, word: CanaryReport) -> bool:
-        known = self._sent_reports.get(word.progress.service)
-        if known is None:
+    def _is_unchanged(self, report: CanaryReport) -> bool:
+        previous = self._sent_reports.get(report.progress.service)
+        if previous is None:
             return False
-        moved = _has_moved(known.progress) == _has_moved(word.progress)
-        same = _is_same(known.progress, word.progress)
-        counted = (known.evidence, known.exposure) == (word.evidence, word.exposure)
-        return same and moved and counted
+        same_migration = _has_migrated(previous.progress) == _has_migrated(
+            report.progress
+        )
+        same_progress = _is_equivalent(previous.progress, report.progress)
+        same_counts = (previous.evidence, previous.exposure) == (
+            report.evidence,
+            report.exposure,
+        )
+        return same_progress and same_migration and same_counts
 
 
-def _is_same(one: Progress, other: Progress) -> bool:
-    return _describe(one) == _describe(other)
+def _is_equivalent(one: Progress, other: Progress) -> bool:
+    return _comparison_key(one) == _comparison_key(other)
 
 
-def _describe(progress: Progress) -> tuple[object, ...]:
+def _comparison_key(progress: Progress) -> tuple[object, ...]:
     return (
         progress.number,
         progress.share,
@@ -316,5 +327,5 @@
     )
 
 
-def _has_moved(progress: Progress) -> bool:
+def _has_migrated(progress: Progress) -> bool:
     return progress.share >= 1.0 and progress.old_running == 0
--- a/src/baobabthread/instance/rollouts.py
+++ b/src/baobabthread/instance/rollouts.py
@@ -1,4 +1,4 @@
-"""Leading the roll-outs: one instance writes how far each has come."""
+"""Control of roll-outs: one instance leads each and writes its status to the store."""
 
 from __future__ import annotations
 
@@ -16,11 +16,7 @@
 from baobabthread.instance.services import Services
 from baobabthread.instance.store import Conflict, RecordFormat, Store, StoreError
 from baobabthread.logs import log_event, write_event
-from baobabthread.routing.configuration import (
-    RolloutOrder,
-    RolloutState,
-    RolloutStatus,
-)
+from baobabthread.routing.configuration import RolloutOrder, RolloutState, RolloutStatus
 from baobabthread.routing.evaluation import evaluate_rollout, may_begin_final_phase
 from baobabthread.routing.permission import PERMIT_TTL_S
 from baobabthread.routing.progress import Progress
@@ -30,13 +26,13 @@
 
 STEP_INTERVAL_S = 0.25
 FINAL_STEP_INTERVAL_S = 0.05
-"""Time between two steps near a limit, when a version takes over."""
+"""Interval between steps near the time limit and in the final phase."""
 PUBLISH_INTERVAL_S = 1.0
-"""Time between two words of a leader that are spread to all."""
+"""Interval at which a leader publishes its progress to all instances."""
 
 
 class RolloutController:
-    """Take part in the roll-outs, and lead those that fall to this instance."""
+    """Take part in all roll-outs, and lead those assigned to this instance."""
 
     def __init__(
         self,
@@ -56,15 +52,13 @@
         self._formats = formats
         self._written: dict[str, RolloutStatus] = {}
         self._initial_orders: frozenset[int] | None = None
-        """Orders that were there when this instance learnt its first configuration."""
+        """Numbers of the orders that came with this instance's first configuration."""
         self._has_loaded_statuses = False
         self._logged_shares: dict[str, float] = {}
         self._logged_permits: dict[str, bool] = {}
         self._published_at: dict[str, float] = {}
         self._confirmation = RolloutConfirmation(
-            store=store,
-            formats=formats,
-            handle_final_status=self._handle_written_status,
+            store=store, formats=formats, handle_final_status=self._record_written
         )
         self._totals = RolloutTotals()
         self._wake_up = asyncio.Event()
@@ -73,7 +67,7 @@
         peers.canaries.find_permit = self._find_permit
 
     async def run(self) -> None:
-        """Move the roll-outs on until cancelled."""
+        """Advance the roll-outs until cancelled."""
         while True:
             try:
                 await self._step()
@@ -86,16 +80,16 @@
 
     def _choose_interval(self) -> float:
         plans = [state.plan for state in self._services]
-        ends = any(
+        is_closing = any(
             plan.is_running and plan.is_in_promotion_window(now()) for plan in plans
         )
-        return FINAL_STEP_INTERVAL_S if ends else STEP_INTERVAL_S
+        return FINAL_STEP_INTERVAL_S if is_closing else STEP_INTERVAL_S
 
     def apply_orders(self) -> None:
-        """Begin with orders as soon as they are known.
+        """Start the roll-outs of new orders as soon as they are read.
 
-        Failure: an instance that starts in the middle of a roll-out would choose among
-        the servers of all versions alike until its next step.
+        An instance that starts in the middle of a roll-out would otherwise use the
+        servers of all versions alike until its next step.
         """
         if self._replica.table is None:
             return
@@ -104,12 +98,12 @@
             self._initial_orders = frozenset(order.number for order in orders.values())
         for name, order in orders.items():
             plan = self._services.get(name).plan
-            is_early = order.number in self._initial_orders
-            if plan.apply_order(order, now(), served_before_order=not is_early):
+            is_initial = order.number in self._initial_orders
+            if plan.apply_order(order, now(), served_before_order=not is_initial):
                 self._wake_up.set()
 
     async def _step(self) -> None:
-        moment = now()
+        now_s = now()
         if self._replica.table is None:
             return
         for state in self._services:
@@ -117,34 +111,34 @@
         self.apply_orders()
         orders = self._replica.orders
         alive = self._peers.membership.alive()
-        self._totals.update_members([member.name for member in alive], moment)
+        self._totals.update_members([member.name for member in alive], now_s)
         if self._initial_orders and not self._has_loaded_statuses:
-            # An order that came later can't have been carried out before.
+            # Only an order from before the start can have a stored status.
             await self._load_statuses()
         for name, order in list(orders.items()):
             plan = self._services.get(name).plan
-            plan.rate.record(plan.exposure.report().requests, moment)
+            plan.rate.record(plan.exposure.report().requests, now_s)
             self._peers.sessions.report_in_use(plan)
             self._apply_messages(plan)
-            plan.analysis.count_overdue(moment)
+            plan.analysis.count_overdue(now_s)
             plan.update_target(
                 usable=self._is_target_usable(plan, order),
-                now=moment,
+                now=now_s,
                 servers=self._backends.usable_versions(name).get(order.target, 1),
             )
-            self._log_permit(plan, moment)
+            self._log_permit(plan, now_s)
             self._send_report(plan)
         for name in list(orders):
             plan = self._services.get(name).plan
             if plan.is_running and self._acts_as_leader(name):
                 await self._lead(plan)
 
-    def _log_permit(self, plan: VersionPlan, moment: float) -> None:
-        """Log when a trial pauses here for want of a permit, and when it goes on."""
-        before = self._logged_permits.get(plan.service, False)
-        left_s = plan.permission.permitted_s(moment)
+    def _log_permit(self, plan: VersionPlan, now_s: float) -> None:
+        """Log when the canary is paused here without a permit, and when it resumes."""
+        previous = self._logged_permits.get(plan.service, False)
+        left_s = plan.permission.permitted_s(now_s)
         is_permitted = plan.is_canary_phase and left_s > 0.0
-        if before == is_permitted:
+        if previous == is_permitted:
             return
         self._logged_permits[plan.service] = is_permitted
         if not plan.is_canary_phase:
@@ -152,7 +146,7 @@
         fields = {
             "service": plan.service,
             "leaders": ",".join(self._peers.canaries.leaders(plan.service)),
-            "elapsed_s": round(plan.elapsed(moment), 2),
+            "elapsed_s": round(plan.elapsed(now_s), 2),
         }
         if is_permitted:
             write_event("trial_permitted", fields)
@@ -160,16 +154,16 @@
             write_event("trial_permit_lapsed", fields, level="warning")
 
     def _is_target_usable(self, plan: VersionPlan, order: RolloutOrder) -> bool:
-        """Tell whether servers of an order's version may get work, or still may."""
+        """Return whether an order's version has servers that may get requests."""
         if plan.has_target_servers:
             return order.target in self._backends.usable_versions(order.service)
-        # Failure: an order comes as its servers start, all of them cold, and what the
-        # trial sends there is refused though the old version has room.
+        # An order arrives while its servers are starting. As long as all of them are
+        # cold, they would reject canary requests that the old version could serve.
         return order.target in self._backends.warm_versions(order.service)
 
     async def _load_statuses(self) -> None:
-        """Take over what was written before this instance started."""
-        asked_at = now()
+        """Apply the statuses that were written before this instance started."""
+        requested_at = now()
         page = await self._store.newest(self._formats.status_topic, STORE_TIMEOUT_S)
         self._has_loaded_statuses = True
         for record in page.records:
@@ -183,26 +177,26 @@
             plan = self._services.get(status.service).plan
             order = self._replica.orders[status.service]
             plan.apply_order(order, now(), served_before_order=False)
-            plan.permission.confirm(requested_at=asked_at)
+            plan.permission.confirm(requested_at=requested_at)
             self._apply_status(plan, status, "store")
 
     def _apply_messages(self, plan: VersionPlan) -> None:
-        moment = now()
+        now_s = now()
         for payload in self._peers.received(f"rollout/{plan.service}"):
             progress = msgspec.json.decode(payload.body, type=Progress)
-            plan.apply_verdict(progress, moment)
-        for word in self._reports(plan):
-            plan.apply_progress(word.progress, moment)
-            plan.analysis.merge(word.origin, word.evidence)
+            plan.apply_verdict(progress, now_s)
+        for report in self._reports(plan):
+            plan.apply_progress(report.progress, now_s)
+            plan.analysis.merge(report.origin, report.evidence)
         for payload in self._peers.received(f"status/{plan.service}"):
             status = msgspec.json.decode(payload.body, type=RolloutStatus)
             self._apply_status(plan, status, payload.origin)
 
     def _handle_verdict(self, progress: Progress) -> None:
         plan = self._services.get(progress.service).plan
-        before = plan.state
+        previous = plan.state
         plan.apply_verdict(progress, now())
-        if plan.state is not before:
+        if plan.state is not previous:
             self._log_received_status(plan, "leader")
 
     def _handle_permit(self, permit: CanaryPermit) -> None:
@@ -214,12 +208,12 @@
         self._peers.canaries.record_permit(plan.service, permit.sent_at)
 
     def _find_permit(self, service: str, number: int) -> Progress | None:
-        """Return what to permit the others, while the store tells of no end."""
+        """Return the progress to permit; None if the store has not confirmed it."""
         plan = self._services.get(service).plan
         if plan.order is None or plan.order.number != number:
             return None
         if not plan.is_running:
-            # Whoever still asks has missed the end.
+            # An instance that still sends reports has missed the final state.
             return Progress(
                 service=service,
                 number=number,
@@ -238,9 +232,9 @@
     def _apply_status(
         self, plan: VersionPlan, status: RolloutStatus, source: str
     ) -> None:
-        before = plan.state
+        previous = plan.state
         plan.apply_status(status, now())
-        if plan.state is not before:
+        if plan.state is not previous:
             self._log_received_status(plan, source)
 
     def _log_received_status(self, plan: VersionPlan, source: str) -> None:
@@ -257,8 +251,8 @@
         progress = plan.progress(now())
         if progress is None:
             return
-        before = self._logged_shares.get(plan.service)
-        if before != progress.share:
+        previous = self._logged_shares.get(plan.service)
+        if previous != progress.share:
             self._logged_shares[plan.service] = progress.share
             log_event(
                 "rollout_share_changed",
@@ -282,18 +276,18 @@
             self._publish_progress(progress)
 
     def _find_permit_left(self, plan: VersionPlan) -> float:
-        """Return the seconds until the permit runs out, or the first one is overdue."""
-        moment = now()
+        """Return the seconds until the permit expires or the first one is overdue."""
+        now_s = now()
         return max(
-            plan.permission.permitted_s(moment), PERMIT_TTL_S - plan.elapsed(moment)
+            plan.permission.permitted_s(now_s), PERMIT_TTL_S - plan.elapsed(now_s)
         )
 
     def _publish_progress(self, progress: Progress) -> None:
-        """Spread the leader's word also to those that start later or missed it."""
-        moment = now()
-        before = self._published_at.get(progress.service, -1e9)
-        if moment - before >= PUBLISH_INTERVAL_S:
-            self._published_at[progress.service] = moment
+        """Publish the leader's progress for instances that start later or missed it."""
+        now_s = now()
+        previous = self._published_at.get(progress.service, -1e9)
+        if now_s - previous >= PUBLISH_INTERVAL_S:
+            self._published_at[progress.service] = now_s
             self._peers.publish(f"rollout/{progress.service}", progress)
 
     def _reports(self, plan: VersionPlan) -> list[CanaryReport]:
@@ -302,10 +296,10 @@
         return self._peers.canaries.reports(plan.service, plan.order.number)
 
     def _acts_as_leader(self, service: str) -> bool:
-        """Tell whether this instance is one that writes a service's status.
+        """Return whether this instance writes a service's status.
 
-        Two that both believe it do no harm: the store takes a record only from the one
-        that has read what the other wrote.
+        Two instances that both act as leader do no harm: the store's compare-and-set
+        accepts a record only from an instance that has read the other's record.
         """
         if not self._replica.is_fresh(now()):
             return False
@@ -314,22 +308,22 @@
     async def _lead(self, plan: VersionPlan) -> None:
         order = plan.order
         assert order is not None
-        moment = now()
+        now_s = now()
         await self._confirmation.refresh(plan)
         if not plan.is_running:
             return
-        told = [(word.progress, word.exposure) for word in self._reports(plan)]
-        self._totals.update(plan, told, moment)
+        reports = [(report.progress, report.exposure) for report in self._reports(plan)]
+        self._totals.update(plan, reports, now_s)
         if self._confirmation.is_fresh(plan.service):
             plan.permit(
                 requested_at=self._confirmation.confirmed_at(plan.service),
                 admits=self._totals.may_admit(plan, now()),
             )
             self._begin_final(plan)
-        words = [word.progress for word in self._reports(plan)]
-        others = len(self._peers.membership.alive()) - 1
+        progress_reports = [report.progress for report in self._reports(plan)]
+        other_count = len(self._peers.membership.alive()) - 1
         state = evaluate_rollout(
-            plan, words, others, moment, totals=self._totals.find(plan)
+            plan, progress_reports, other_count, now_s, totals=self._totals.find(plan)
         )
         written = self._written.get(plan.service)
         if (
@@ -343,49 +337,47 @@
             target=order.target,
             state=state,
             number=order.number,
-            elapsed_s=plan.elapsed(moment),
+            elapsed_s=plan.elapsed(now_s),
         )
         await self._write_status(plan, status)
 
     def _begin_final(self, plan: VersionPlan) -> None:
-        """Let the new version take over once what it may get lasts to the limit."""
-        moment = now()
+        """Begin the final phase once the exposure budget lasts until the time limit."""
+        now_s = now()
         totals = self._totals.find(plan)
-        if not may_begin_final_phase(plan, totals, moment):
+        if not may_begin_final_phase(plan, totals, now_s):
             return
-        if not self._totals.has_quorum(plan, moment):
+        if not self._totals.has_quorum(plan, now_s):
             return
-        plan.begin_final_phase(
-            moment, quota=self._totals.find_final_quota(plan, moment)
-        )
+        plan.begin_final_phase(now_s, quota=self._totals.find_final_quota(plan, now_s))
         log_event(
             "rollout_final",
             service=plan.service,
             requests=totals.total.requests,
             exposed=totals.total.exposed,
-            per_s=round(totals.per_s(plan.elapsed(moment)), 1),
-            left_s=round(plan.left_s(moment), 2),
+            per_s=round(totals.per_s(plan.elapsed(now_s)), 1),
+            left_s=round(plan.left_s(now_s), 2),
             evidence=plan.analysis.describe(),
         )
         self._send_report(plan)
 
     async def _write_status(self, plan: VersionPlan, status: RolloutStatus) -> None:
         page = await self._store.newest(self._formats.status_topic, STORE_TIMEOUT_S)
-        found = self._confirmation.find_status(plan, page)
-        if found is not None:
-            if found.state is not RolloutState.RUNNING:
+        stored = self._confirmation.find_status(plan, page)
+        if stored is not None:
+            if stored.state is not RolloutState.RUNNING:
                 return
-            if found.state is status.state:
-                self._written[plan.service] = found
+            if stored.state is status.state:
+                self._written[plan.service] = stored
                 return
         append = self._formats.encode_status(status, page.end)
         outcome = await self._store.append(append, STORE_TIMEOUT_S)
         if isinstance(outcome, Conflict):
             log_event("status_conflict", service=status.service, state=status.state)
             return
-        self._handle_written_status(plan, status)
+        self._record_written(plan, status)
 
-    def _handle_written_status(self, plan: VersionPlan, status: RolloutStatus) -> None:
+    def _record_written(self, plan: VersionPlan, status: RolloutStatus) -> None:
         self._written[plan.service] = status
         log_event(
             "rollout_status_written",
@@ -402,7 +394,7 @@
             progress = plan.progress(now())
             plan.apply_status(status, now())
             if progress is not None:
-                # Gossip takes seconds among hundreds.
+                # Gossip takes seconds among hundreds of instances.
                 ended = msgspec.structs.replace(progress, state=status.state)
                 self._peers.canaries.publish_verdict(ended)
             self._peers.publish(f"status/{plan.service}", status)
--- a/src/baobabthread/instance/sessions.py
+++ b/src/baobabthread/instance/sessions.py
@@ -1,11 +1,12 @@
-"""One instance decides on each session that may be in use while a version is tried.
-
-Callers send a session's requests to any instance, two of them in the same second. By
-itself one instance would move the session and another one keep it; word spread by
-gossip comes too late. The instance that stands first for the session decides, at the
-price of a question and an answer for the few requests that the trial may move, and for
-all of them in the last part of a roll-out. The second one knows the same, for the time
-when the first is stopped. What was let onto the new version stays there.
+"""Consistent choice of a version for sessions during a roll-out.
+
+Callers send a session's requests to any instance, possibly to two of them in the same
+second. If each instance decided alone, one could move the session to the new version
+while another keeps it, and gossip is too slow to prevent that. Rendezvous hashing
+therefore picks two owners for each session. The first one decides, which costs a query
+and a reply for the few requests that the canary may move, and for all requests in the
+last part of a roll-out. The second one has the same information and takes over while
+the first is stopped. A session that was moved to the new version stays there.
 """
 
 from __future__ import annotations
@@ -20,55 +21,55 @@
 from baobabthread.routing.versions import VersionPlan
 
 REPLY_TIMEOUT_S = 0.08
-"""Time for the answer, several times a trip between failure domains; without one the
-next instance is asked."""
+"""Time to wait for a reply before the next owner is queried; several times the latency
+between failure domains."""
 LAST_REPLY_TIMEOUT_S = 0.25
-"""The same once none has answered: one may only be slow, and a session that has moved
-must not go back."""
+"""Time to wait in the second attempt, after no owner has replied: an owner may just be
+slow, and a session that has moved must not go back."""
 OWNER_COUNT = 2
-"""Instances that are told of a session in use, and asked one after the other: the first
-may have started after the order and know nothing."""
+"""Instances that receive reports on a session and are queried in order: the first one
+may have started after the order and have no information."""
 RESEND_INTERVAL_S = 0.15
-"""Time after which word of sessions in use is sent again: datagrams get lost, and a
-session that its decider doesn't know would move in the middle of a conversation."""
+"""Time after which an unacknowledged report is sent again: datagrams may be lost, and a
+session unknown to its owner would move in the middle of a conversation."""
 MAX_SENDS = 8
 RENEWAL_INTERVAL_S = 2.0
-"""Time after which word of requests that still run on the old version is renewed, well
-within a session's pause."""
+"""Interval at which requests still running on the old version are reported again; well
+within the idle time after which a session counts as ended."""
 
 
 class VersionQuery(msgspec.Struct, frozen=True, kw_only=True, tag="session.ask"):
-    """Ask whether a request of a session goes to the new version."""
+    """Request the decision whether a session's request goes to the new version."""
 
     sequence: int
     service: str
     number: int
-    """The order."""
+    """Number of the roll-out order."""
     session: str
 
 
 class VersionReply(msgspec.Struct, frozen=True, kw_only=True, tag="session.is"):
-    """Tell whether it does."""
+    """Reply to a `VersionQuery`."""
 
     sequence: int
     is_new: bool | None
-    """None where the one who was asked can't know."""
+    """None if the queried instance has too little information."""
 
 
 class SessionUseReport(msgspec.Struct, frozen=True, kw_only=True, tag="session.uses"):
-    """Tell which sessions are in use, on which version."""
+    """Report which sessions are in use, and on which version."""
 
     sequence: int
     service: str
     number: int
     ages: dict[str, float]
-    """Seconds since the last request of each that is on the old version."""
+    """Seconds since the last request of each session on the old version."""
     moved: list[str] = []
-    """Those of which a request ran on the new version."""
+    """Sessions with a request on the new version."""
 
 
 class SessionUseAck(msgspec.Struct, frozen=True, kw_only=True, tag="session.noted"):
-    """Confirm word of sessions in use."""
+    """Acknowledge a `SessionUseReport`."""
 
     sequence: int
 
@@ -82,24 +83,24 @@
 class _UnacknowledgedReport:
     __slots__ = ("created_at", "message", "send_count", "sent_at", "to")
 
-    def __init__(self, *, to: str, message: SessionUseReport, moment: float) -> None:
+    def __init__(self, *, to: str, message: SessionUseReport, now_s: float) -> None:
         self.to = to
         self.message = message
-        self.created_at = moment
-        self.sent_at = moment
+        self.created_at = now_s
+        self.sent_at = now_s
         self.send_count = 1
 
-    def renew(self, moment: float) -> SessionUseReport:
-        """Return the message with the ages of now, and count a try."""
-        passed_s = moment - self.created_at
-        self.sent_at = moment
+    def renew(self, now_s: float) -> SessionUseReport:
+        """Return the message with current ages, and count another send."""
+        elapsed_s = now_s - self.created_at
+        self.sent_at = now_s
         self.send_count += 1
-        ages = {s: round(age + passed_s, 2) for s, age in self.message.ages.items()}
+        ages = {s: round(age + elapsed_s, 2) for s, age in self.message.ages.items()}
         return msgspec.structs.replace(self.message, ages=ages)
 
 
 class SessionCoordinator:
-    """Ask the deciding instance, and answer for the sessions decided here."""
+    """Query the owners of sessions, and decide on the sessions owned here."""
 
     __slots__ = (
         "_alive",
@@ -124,11 +125,11 @@
         self._sequence = 0
         self._renewed_at = now()
         self._notified_owners: dict[str, dict[str, set[str]]] = {}
-        """Who was told of a session that has moved, by service and session."""
+        """Owners that were sent a moved session, by service and session."""
         self._unacknowledged: dict[int, _UnacknowledgedReport] = {}
 
     def handle(self, sender: str, message: msgspec.Struct) -> None:
-        """Take in one of `SESSION_MESSAGES`."""
+        """Handle one of `SESSION_MESSAGES`."""
         match message:
             case VersionQuery():
                 self._handle_query(sender, message)
@@ -140,13 +141,13 @@
                 self._unacknowledged.pop(message.sequence, None)
 
     def set_members(self, names: list[str]) -> None:
-        """Note which instances serve, this one included."""
-        before, self._alive = self._alive, names or [self._me]
-        if set(before) == set(self._alive):
+        """Update the names of the serving instances, including this one."""
+        previous, self._alive = self._alive, names or [self._me]
+        if set(previous) == set(self._alive):
             return
         for sessions in self._notified_owners.values():
-            for told in sessions.values():
-                told.intersection_update(self._alive)
+            for notified in sessions.values():
+                notified.intersection_update(self._alive)
         for service in self._reported_orders:
             plan = self._find_plan(service)
             if plan.is_canary_phase:
@@ -157,25 +158,25 @@
         """Return whether a contested session's request goes to the new version."""
         if plan.order is None:
             return False
-        waiting = self._find_owners(session)
+        owners = self._find_owners(session)
         for wait_s in (REPLY_TIMEOUT_S, LAST_REPLY_TIMEOUT_S):
-            silent = []
-            for name in waiting:
+            unanswered = []
+            for name in owners:
                 if name == self._me:
                     is_new = self._decide_locally(plan, session)
                 else:
-                    word = await self._query(name, plan, session, wait_s)
-                    if word is None:
-                        silent.append(name)
-                    is_new = word.is_new if word is not None else None
+                    reply = await self._query(name, plan, session, wait_s)
+                    if reply is None:
+                        unanswered.append(name)
+                    is_new = reply.is_new if reply is not None else None
                 if is_new is not None:
                     return is_new
-            waiting = silent
-        # In the second half any session may move, and one that has must not go back.
-        is_free = plan.is_past_half(now()) and plan.is_in_canary_share(session)
-        if plan.pins.is_on_new(session) or is_free:
+            owners = unanswered
+        # In the second half any session may have moved, and it must not go back.
+        may_move = plan.is_past_half(now()) and plan.is_in_canary_share(session)
+        if plan.pins.is_on_new(session) or may_move:
             return True
-        # Somebody may have decided to move it, and the answer was lost.
+        # An owner may have decided to move the session, with the reply lost.
         self._report_ages(plan, {session: 0.0})
         return False
 
@@ -187,52 +188,52 @@
     ) -> VersionReply | None:
         assert plan.order is not None
         self._sequence += 1
-        answer: asyncio.Future[VersionReply]
-        answer = asyncio.get_running_loop().create_future()
-        self._pending[self._sequence] = answer
-        question = VersionQuery(
+        reply: asyncio.Future[VersionReply]
+        reply = asyncio.get_running_loop().create_future()
+        self._pending[self._sequence] = reply
+        query = VersionQuery(
             sequence=self._sequence,
             service=plan.service,
             number=plan.order.number,
             session=session,
         )
         try:
-            self._send(name, question)
+            self._send(name, query)
             async with asyncio.timeout(wait_s):
-                return await answer
+                return await reply
         except TimeoutError:
             return None
         finally:
-            self._pending.pop(question.sequence, None)
+            self._pending.pop(query.sequence, None)
 
     def report_old(self, plan: VersionPlan, session: str) -> None:
-        """Tell the deciding instances that a request is on the old version, or was."""
+        """Report to a session's owners that it has a request on the old version."""
         if plan.may_join_canary(session):
             self._report_ages(plan, {session: 0.0})
 
     def report_new(self, plan: VersionPlan, session: str) -> None:
-        """Tell the deciding instances that a request is on the new version, once."""
-        is_news = plan.pins.record_new(session, now())
-        if is_news and plan.is_running:
+        """Report to a session's owners, once, that it is on the new version."""
+        is_first = plan.pins.record_new(session, now())
+        if is_first and plan.is_running:
             self._report_moved(plan, [session])
 
     def _report_moved(self, plan: VersionPlan, sessions: list[str]) -> None:
-        by_decider: dict[str, list[str]] = {}
-        known = self._notified_owners.setdefault(plan.service, {})
+        by_owner: dict[str, list[str]] = {}
+        by_session = self._notified_owners.setdefault(plan.service, {})
         for session in sessions:
-            told = known.setdefault(session, set())
+            notified = by_session.setdefault(session, set())
             for name in self._find_owners(session):
-                if name not in told:
-                    told.add(name)
-                    by_decider.setdefault(name, []).append(session)
-        for name, theirs in by_decider.items():
+                if name not in notified:
+                    notified.add(name)
+                    by_owner.setdefault(name, []).append(session)
+        for name, owned in by_owner.items():
             if name == self._me:
-                plan.pins.record_moved(theirs)
+                plan.pins.record_moved(owned)
             else:
-                self._send_use_report(name, plan, {}, theirs)
+                self._send_use_report(name, plan, {}, owned)
 
     def report_in_use(self, plan: VersionPlan) -> None:
-        """Hand over the sessions in use here, once for each order."""
+        """Report the sessions in use here to their owners, once per order."""
         order = plan.order
         if order is None or self._reported_orders.get(plan.service) == order.number:
             return
@@ -241,46 +242,49 @@
         self._report_ages(plan, plan.list_session_ages(now()))
 
     def tick(self) -> None:
-        """Send again what nobody has confirmed."""
-        moment = now()
-        for sequence, waiting in list(self._unacknowledged.items()):
-            if moment - waiting.sent_at < RESEND_INTERVAL_S:
+        """Resend unacknowledged reports, and renew those of running requests."""
+        now_s = now()
+        for sequence, pending in list(self._unacknowledged.items()):
+            if now_s - pending.sent_at < RESEND_INTERVAL_S:
                 continue
-            if waiting.send_count >= MAX_SENDS:
+            if pending.send_count >= MAX_SENDS:
                 del self._unacknowledged[sequence]
                 continue
-            self._send(waiting.to, waiting.renew(moment))
-        if moment - self._renewed_at >= RENEWAL_INTERVAL_S:
-            self._renewed_at = moment
+            self._send(pending.to, pending.renew(now_s))
+        if now_s - self._renewed_at >= RENEWAL_INTERVAL_S:
+            self._renewed_at = now_s
             self._renew_reports()
 
     def _renew_reports(self) -> None:
-        """Tell again of what runs on the old version: a stream outlasts a pause."""
+        """Report running requests on the old version again.
+
+        A stream may run for longer than the idle time of a session.
+        """
         for service in self._reported_orders:
             plan = self._find_plan(service)
             sessions = plan.pins.list_running_old()
             running = [s for s in sessions if plan.may_join_canary(s)]
             self._report_ages(plan, dict.fromkeys(running, 0.0))
 
-    def _handle_query(self, sender: str, question: VersionQuery) -> None:
-        plan = self._find_plan(question.service)
-        known = plan.order is not None and plan.order.number == question.number
-        is_new = self._decide_locally(plan, question.session) if known else None
-        self._send(sender, VersionReply(sequence=question.sequence, is_new=is_new))
-
-    def _handle_reply(self, word: VersionReply) -> None:
-        waiting = self._pending.get(word.sequence)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(word)
-
-    def _handle_use_report(self, sender: str, uses: SessionUseReport) -> None:
-        plan = self._find_plan(uses.service)
-        if plan.order is None or plan.order.number != uses.number:
-            # The order is on its way here; the sender tells again.
+    def _handle_query(self, sender: str, query: VersionQuery) -> None:
+        plan = self._find_plan(query.service)
+        is_same_order = plan.order is not None and plan.order.number == query.number
+        is_new = self._decide_locally(plan, query.session) if is_same_order else None
+        self._send(sender, VersionReply(sequence=query.sequence, is_new=is_new))
+
+    def _handle_reply(self, reply: VersionReply) -> None:
+        future = self._pending.get(reply.sequence)
+        if future is not None and not future.done():
+            future.set_result(reply)
+
+    def _handle_use_report(self, sender: str, report: SessionUseReport) -> None:
+        plan = self._find_plan(report.service)
+        if plan.order is None or plan.order.number != report.number:
+            # The order has not arrived here yet; the sender will send the report again.
             return
-        plan.pins.record_in_use(uses.ages, now())
-        plan.pins.record_moved(uses.moved)
-        self._send(sender, SessionUseAck(sequence=uses.sequence))
+        plan.pins.record_in_use(report.ages, now())
+        plan.pins.record_moved(report.moved)
+        self._send(sender, SessionUseAck(sequence=report.sequence))
 
     def _decide_locally(self, plan: VersionPlan, session: str) -> bool | None:
         if plan.pins.is_admitted(session) or not plan.may_have_moved(session):
@@ -289,33 +293,33 @@
             return None
         if plan.decide(session, now()):
             return True
-        # The first one may have let it in; what it did is told, and words get lost.
+        # The first owner may have moved the session, with its report lost.
         is_first = self._find_owners(session)[0] == self._me
         return False if is_first and plan.knows_sessions_in_use(now()) else None
 
     def _report_ages(self, plan: VersionPlan, ages: dict[str, float]) -> None:
-        by_decider: dict[str, dict[str, float]] = {}
+        by_owner: dict[str, dict[str, float]] = {}
         for session, age_s in ages.items():
             for name in self._find_owners(session):
-                by_decider.setdefault(name, {})[session] = age_s
-        for name, theirs in by_decider.items():
+                by_owner.setdefault(name, {})[session] = age_s
+        for name, owned in by_owner.items():
             if name == self._me:
-                plan.pins.record_in_use(theirs, now())
+                plan.pins.record_in_use(owned, now())
             else:
-                self._send_use_report(name, plan, theirs, [])
+                self._send_use_report(name, plan, owned, [])
 
     def _send_use_report(
         self, to: str, plan: VersionPlan, ages: dict[str, float], moved: list[str]
     ) -> None:
         assert plan.order is not None
         self._sequence += 1
-        uses = SessionUseReport(
+        report = SessionUseReport(
             sequence=self._sequence,
             service=plan.service,
             number=plan.order.number,
             ages=ages,
             moved=moved,
         )
-        waiting = _UnacknowledgedReport(to=to, message=uses, moment=now())
-        self._unacknowledged[self._sequence] = waiting
-        self._send(to, uses)
+        pending = _UnacknowledgedReport(to=to, message=report, now_s=now())
+        self._unacknowledged[self._sequence] = pending
+        self._send(to, report)
--- a/tests/instance/test_canaries.py
+++ b/tests/instance/test_canaries.py
@@ -1,4 +1,4 @@
-"""Tests of word about a version on trial among many instances."""
+"""Tests of the reports on a canary version among many instances."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Clock:
-    """Stand still until a test moves it on."""
+    """A clock that only advances when a test sets it."""
 
     def __init__(self) -> None:
         self.time = 100.0
@@ -32,8 +32,8 @@
         return self.time
 
 
-class Desks:
-    """Hold the desks of many instances and carry what they send."""
+class Coordinators:
+    """The coordinators of many instances, with message delivery between them."""
 
     def __init__(self, count: int) -> None:
         names = [f"i{number}" for number in range(count)]
@@ -44,16 +44,20 @@
         self.all = {name: self._make(name, names) for name in names}
 
     def _make(self, name: str, names: list[str]) -> CanaryCoordinator:
-        desk = CanaryCoordinator(me=name, send=functools.partial(self._carry, name))
-        desk.set_members(names)
-        desk.handle_verdict = lambda progress: self.verdicts.update({name: progress})
-        return desk
+        coordinator = CanaryCoordinator(
+            me=name, send=functools.partial(self._deliver, name)
+        )
+        coordinator.set_members(names)
+        coordinator.handle_verdict = lambda progress: self.verdicts.update(
+            {name: progress}
+        )
+        return coordinator
 
     def rank(self) -> list[str]:
-        """Return those that lead or would stand in, the first one first."""
+        """Return the leader and its standbys, in order."""
         return rank("s", self.all)[:CANDIDATE_COUNT]
 
-    def _carry(self, sender: str, to: str, message: msgspec.Struct) -> None:
+    def _deliver(self, sender: str, to: str, message: msgspec.Struct) -> None:
         self.sent.append((to, message))
         if to in self.lost:
             return
@@ -72,7 +76,7 @@
     return clock
 
 
-def make_word(origin: str, **more: Any) -> CanaryReport:
+def make_report(origin: str, **more: Any) -> CanaryReport:
     progress = Progress(service="s", number=1, elapsed_s=1.0, share=0.05, old_running=3)
     return CanaryReport(
         origin=origin,
@@ -81,167 +85,190 @@
     )
 
 
-def test_tell_two_of_two_hundred(clock: Clock) -> None:
-    """Each instance counts answers of the new version while a roll-out runs.
+def test_report_to_two_of_two_hundred(clock: Clock) -> None:
+    """Each instance counts responses of the new version while a roll-out runs.
 
-    Spread to all, the words of two hundred instances grow with their square.
+    If reports were sent to all, their number would grow with the square of the
+    instances.
     """
-    desks = Desks(200)
+    coordinators = Coordinators(200)
     for _ in range(40):
-        for name, desk in desks.all.items():
-            desk.send_report(make_word(name, elapsed_s=clock.time))
+        for name, coordinator in coordinators.all.items():
+            coordinator.send_report(make_report(name, elapsed_s=clock.time))
         clock.time += 0.25
-    leader, deputy = desks.all["i0"].leaders("s")
-    assert len(desks.all[leader].reports("s", 1)) == 199
-    assert len(desks.all[deputy].reports("s", 1)) == 199
-    assert len(desks.sent) <= 5 * 2 * 200
+    leader, deputy = coordinators.all["i0"].leaders("s")
+    assert len(coordinators.all[leader].reports("s", 1)) == 199
+    assert len(coordinators.all[deputy].reports("s", 1)) == 199
+    assert len(coordinators.sent) <= 5 * 2 * 200
 
 
-def test_tell_again_when_another_leads(clock: Clock) -> None:
-    """The leader is lost in the middle of a roll-out; nothing has changed since.
+def test_report_again_when_the_leader_changes(clock: Clock) -> None:
+    """The leader fails in the middle of a roll-out, and nothing has changed since.
 
-    The next one in line knows all words already, and one that moves up hears them.
+    The next instance in line already has all reports, and the one that moves up
+    receives them.
     """
-    desks = Desks(20)
-    names = list(desks.all)
-    for name, desk in desks.all.items():
-        desk.send_report(make_word(name))
-    gone = desks.all["i0"].leaders("s")
-    left = [name for name in names if name != gone[0]]
-    for name in left:
-        desks.all[name].set_members(left)
-    assert desks.all[left[0]].leaders("s")[0] == gone[1]
+    coordinators = Coordinators(20)
+    names = list(coordinators.all)
+    for name, coordinator in coordinators.all.items():
+        coordinator.send_report(make_report(name))
+    leaders = coordinators.all["i0"].leaders("s")
+    remaining = [name for name in names if name != leaders[0]]
+    for name in remaining:
+        coordinators.all[name].set_members(remaining)
+    assert coordinators.all[remaining[0]].leaders("s")[0] == leaders[1]
     clock.time += 2.1
-    for name in left:
-        desks.all[name].send_report(make_word(name))
-    third = desks.all[left[0]].leaders("s")[1]
-    assert len(desks.all[third].reports("s", 1)) == 18
+    for name in remaining:
+        coordinators.all[name].send_report(make_report(name))
+    third = coordinators.all[remaining[0]].leaders("s")[1]
+    assert len(coordinators.all[third].reports("s", 1)) == 18
 
 
-def test_tell_all_what_the_leader_concludes(clock: Clock) -> None:
-    """A bad version is found out, and the first datagram to an instance is lost.
+def test_send_the_verdict_to_all(clock: Clock) -> None:
+    """A bad version is detected, and the first datagram to one instance is lost.
 
-    It would go on to send callers there until gossip arrives, some seconds later.
+    That instance would keep routing callers to the version until gossip arrives, some
+    seconds later.
     """
-    desks = Desks(20)
-    leader = desks.all["i0"].leaders("s")[0]
-    missed = next(name for name in desks.all if name != leader)
-    desks.lost.add(missed)
-    desks.all[leader].publish_verdict(make_word(leader, alarm="bad").progress)
-    assert len(desks.verdicts) == 18
-    desks.lost.clear()
+    coordinators = Coordinators(20)
+    leader = coordinators.all["i0"].leaders("s")[0]
+    missed = next(name for name in coordinators.all if name != leader)
+    coordinators.lost.add(missed)
+    coordinators.all[leader].publish_verdict(make_report(leader, alarm="bad").progress)
+    assert len(coordinators.verdicts) == 18
+    coordinators.lost.clear()
     clock.time += 0.35
-    desks.all[leader].tick()
-    assert desks.verdicts[missed].alarm == "bad"
-    sent = len(desks.sent)
+    coordinators.all[leader].tick()
+    assert coordinators.verdicts[missed].alarm == "bad"
+    sent = len(coordinators.sent)
     for _ in range(10):
         clock.time += 0.5
-        desks.all[leader].publish_verdict(make_word(leader, alarm="bad").progress)
-        desks.all[leader].tick()
-    assert len(desks.sent) == sent + 19
-
-
-def test_tell_at_once_when_a_roll_out_has_moved(clock: Clock) -> None:
-    """The last request on the old version ends; the roll-out waits for that word."""
-    desks = Desks(20)
-    desk = desks.all["i0"]
-    leader = next(name for name in desk.leaders("s") if name != "i0")
-    desk.send_report(make_word("i0", share=1.0))
+        coordinators.all[leader].publish_verdict(
+            make_report(leader, alarm="bad").progress
+        )
+        coordinators.all[leader].tick()
+    assert len(coordinators.sent) == sent + 19
+
+
+def test_report_at_once_when_the_old_version_is_idle(clock: Clock) -> None:
+    """The last request on the old version ends; the roll-out waits for this report."""
+    coordinators = Coordinators(20)
+    coordinator = coordinators.all["i0"]
+    leader = next(name for name in coordinator.leaders("s") if name != "i0")
+    coordinator.send_report(make_report("i0", share=1.0))
     clock.time += 0.3
-    desk.send_report(make_word("i0", share=1.0, old_running=0))
-    (word,) = desks.all[leader].reports("s", 1)
-    assert word.progress.old_running == 0
+    coordinator.send_report(make_report("i0", share=1.0, old_running=0))
+    (report,) = coordinators.all[leader].reports("s", 1)
+    assert report.progress.old_running == 0
 
 
-def test_permit_only_what_the_leader_has_heard_and_may_permit(clock: Clock) -> None:
-    """The leader hears an instance but can't tell whether the trial was taken back.
+def test_permit_only_received_reports(clock: Clock) -> None:
+    """The leader can't confirm that the canary was not rolled back.
 
-    A permit answers a word: one that was lost, or that comes to somebody else, is none.
+    It sends no permit then, and a permit only answers a report that has reached the
+    leader: a lost report, or one sent to another instance, gets none.
     """
-    desks = Desks(5)
-    leader = desks.all["i0"].leaders("s")[0]
+    coordinators = Coordinators(5)
+    leader = coordinators.all["i0"].leaders("s")[0]
     name = next(
-        name for name in desks.all if name not in desks.all[leader].leaders("s")
+        name
+        for name in coordinators.all
+        if name not in coordinators.all[leader].leaders("s")
     )
-    desks.all[name].send_report(make_word(name))
-    assert not desks.permits
-    progress = make_word(leader).progress
-    for desk in desks.all.values():
-        desk.find_permit = lambda service, number: progress if number == 1 else None
+    coordinators.all[name].send_report(make_report(name))
+    assert not coordinators.permits
+    progress = make_report(leader).progress
+    for coordinator in coordinators.all.values():
+        coordinator.find_permit = lambda service, number: (
+            progress if number == 1 else None
+        )
     clock.time += 2.1
-    desks.all[name].send_report(make_word(name))
-    assert desks.permits == {name: [clock.time]}
-    desks.lost.add(leader)
+    coordinators.all[name].send_report(make_report(name))
+    assert coordinators.permits == {name: [clock.time]}
+    coordinators.lost.add(leader)
     clock.time += 2.1
-    desks.all[name].send_report(make_word(name))
-    assert len(desks.permits[name]) == 1
+    coordinators.all[name].send_report(make_report(name))
+    assert len(coordinators.permits[name]) == 1
 
 
-def choose_follower(desks: Desks) -> str:
-    """Return an instance that neither leads nor would stand in."""
-    return next(name for name in desks.all if name not in desks.rank())
+def choose_follower(coordinators: Coordinators) -> str:
+    """Return an instance that is neither the leader nor a standby."""
+    return next(name for name in coordinators.all if name not in coordinators.rank())
 
 
-def test_send_a_lost_word_once_more(clock: Clock) -> None:
-    """Among two hundred the next word is due after a second; the permit would lapse."""
-    desks = Desks(200)
-    name = choose_follower(desks)
-    desk = desks.all[name]
-    leader = desk.leaders("s")[0]
-    desk.record_permit("s", clock.time)
+def test_send_a_lost_report_once_more(clock: Clock) -> None:
+    """Of two hundred instances, one loses a report just before its permit expires.
+
+    The next report is due after a second, so the permit would expire before it.
+    """
+    coordinators = Coordinators(200)
+    name = choose_follower(coordinators)
+    coordinator = coordinators.all[name]
+    leader = coordinator.leaders("s")[0]
+    coordinator.record_permit("s", clock.time)
     clock.time += 1.1
-    desks.lost.add(leader)
-    desk.send_report(make_word(name, elapsed_s=1.0, old_running=1), permit_left_s=1.4)
-    desks.lost.clear()
-    sent = len(desks.sent)
+    coordinators.lost.add(leader)
+    coordinator.send_report(
+        make_report(name, elapsed_s=1.0, old_running=1), permit_left_s=1.4
+    )
+    coordinators.lost.clear()
+    sent = len(coordinators.sent)
     clock.time += 0.25
-    desk.send_report(make_word(name, elapsed_s=1.2, old_running=2), permit_left_s=1.2)
-    assert len(desks.sent) == sent
+    coordinator.send_report(
+        make_report(name, elapsed_s=1.2, old_running=2), permit_left_s=1.2
+    )
+    assert len(coordinators.sent) == sent
     clock.time += 0.1
-    desk.send_report(make_word(name, elapsed_s=1.3, old_running=2), permit_left_s=1.1)
-    assert [word.origin for word in desks.all[leader].reports("s", 1)] == [name]
-    sent = len(desks.sent)
+    coordinator.send_report(
+        make_report(name, elapsed_s=1.3, old_running=2), permit_left_s=1.1
+    )
+    assert [report.origin for report in coordinators.all[leader].reports("s", 1)] == [
+        name
+    ]
+    sent = len(coordinators.sent)
     clock.time += 0.35
-    desk.send_report(make_word(name, elapsed_s=1.6, old_running=3), permit_left_s=1.0)
-    assert len(desks.sent) == sent
+    coordinator.send_report(
+        make_report(name, elapsed_s=1.6, old_running=3), permit_left_s=1.0
+    )
+    assert len(coordinators.sent) == sent
 
 
-def test_renew_a_permit_without_news(clock: Clock) -> None:
-    desks = Desks(200)
-    name = choose_follower(desks)
-    desk = desks.all[name]
-    word = make_word(name)
-    desk.send_report(word)
+def test_renew_a_permit_without_changes(clock: Clock) -> None:
+    coordinators = Coordinators(200)
+    name = choose_follower(coordinators)
+    coordinator = coordinators.all[name]
+    report = make_report(name)
+    coordinator.send_report(report)
     clock.time += 1.1
-    desk.send_report(word, permit_left_s=1.4)
-    assert len(desks.sent) == 2
-    desk.send_report(word, permit_left_s=1.2)
-    assert len(desks.sent) == 4
-
-
-def test_stand_in_for_a_leader_that_gives_no_permits(clock: Clock) -> None:
-    """The leader reaches no store: the permits of all instances ran out at once."""
-    desks = Desks(20)
-    name = choose_follower(desks)
-    leader, *others = desks.rank()
-    progress = make_word(leader).progress
+    coordinator.send_report(report, permit_left_s=1.4)
+    assert len(coordinators.sent) == 2
+    coordinator.send_report(report, permit_left_s=1.2)
+    assert len(coordinators.sent) == 4
+
+
+def test_standbys_replace_a_leader_without_permits(clock: Clock) -> None:
+    """The leader can't reach the store, and the permits of all instances expire."""
+    coordinators = Coordinators(20)
+    name = choose_follower(coordinators)
+    leader, *others = coordinators.rank()
+    progress = make_report(leader).progress
     for other in others:
-        desks.all[other].find_permit = lambda service, number: progress
-    desks.all[name].send_report(make_word(name), permit_left_s=2.0)
-    assert not desks.permits
-    assert not any(desks.all[other].acts_as_leader("s") for other in others)
+        coordinators.all[other].find_permit = lambda service, number: progress
+    coordinators.all[name].send_report(make_report(name), permit_left_s=2.0)
+    assert not coordinators.permits
+    assert not any(coordinators.all[other].acts_as_leader("s") for other in others)
     clock.time += 0.4
-    desks.all[name].send_report(make_word(name), permit_left_s=0.8)
-    assert len(desks.permits[name]) == len(others)
-    assert all(desks.all[other].acts_as_leader("s") for other in others)
+    coordinators.all[name].send_report(make_report(name), permit_left_s=0.8)
+    assert len(coordinators.permits[name]) == len(others)
+    assert all(coordinators.all[other].acts_as_leader("s") for other in others)
     clock.time += 2.1
-    assert not any(desks.all[other].acts_as_leader("s") for other in others)
+    assert not any(coordinators.all[other].acts_as_leader("s") for other in others)
 
 
-def test_tell_all_of_the_end(clock: Clock) -> None:
-    desks = Desks(20)
-    leader = desks.rank()[0]
-    word = make_word(leader, state=RolloutState.REVERTED)
-    desks.all[leader].publish_verdict(word.progress)
-    assert len(desks.verdicts) == 19
-    assert {p.state for p in desks.verdicts.values()} == {RolloutState.REVERTED}
+def test_send_the_final_state_to_all(clock: Clock) -> None:
+    coordinators = Coordinators(20)
+    leader = coordinators.rank()[0]
+    report = make_report(leader, state=RolloutState.REVERTED)
+    coordinators.all[leader].publish_verdict(report.progress)
+    assert len(coordinators.verdicts) == 19
+    assert {p.state for p in coordinators.verdicts.values()} == {RolloutState.REVERTED}
--- a/tests/instance/test_sessions.py
+++ b/tests/instance/test_sessions.py
@@ -1,4 +1,4 @@
-"""Tests of who decides on a session while a version is on trial."""
+"""Tests of the choice of a version for sessions during a roll-out."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 ORDER = RolloutOrder(number=1, service="s", target="v2", time_limit_s=60.0)
 
 
-class Net:
-    """Carry messages among desks at once, or lose them."""
+class Network:
+    """A network that delivers messages between coordinators at once, or loses them."""
 
     def __init__(self) -> None:
         self.plans: dict[str, VersionPlan] = {}
-        self.desks: dict[str, SessionCoordinator] = {}
+        self.coordinators: dict[str, SessionCoordinator] = {}
         self.lost = False
         self.lose: Counter[type] = Counter()
-        """How many of the next messages are lost, by kind."""
+        """Number of the next messages to lose, by type."""
         self.count = 0
         for name in NAMES:
             plan = VersionPlan(service="s", bounds=RoutingBounds(exposure_share=1.0))
@@ -45,34 +45,34 @@
             self.restart(name, plan)
 
     def restart(self, name: str, plan: VersionPlan) -> None:
-        """Put an instance in place that knows just this plan."""
+        """Start an instance anew that knows only this plan."""
         self.plans[name] = plan
-        self.desks[name] = SessionCoordinator(
+        self.coordinators[name] = SessionCoordinator(
             me=name,
-            send=lambda to, message: self.carry(name, to, message),
+            send=lambda to, message: self.deliver(name, to, message),
             find_plan=lambda _: plan,
         )
-        self.desks[name].set_members(NAMES)
+        self.coordinators[name].set_members(NAMES)
 
-    def carry(self, sender: str, to: str, message: msgspec.Struct) -> None:
+    def deliver(self, sender: str, to: str, message: msgspec.Struct) -> None:
         self.count += 1
         if self.lost:
             return
         if self.lose[type(message)] > 0:
             self.lose[type(message)] -= 1
             return
-        self.desks[to].handle(sender, message)
+        self.coordinators[to].handle(sender, message)
 
 
-def find_contested(net: Net) -> list[str]:
-    plan = net.plans["i1"]
+def find_contested(network: Network) -> list[str]:
+    plan = network.plans["i1"]
     names = [f"s{n}" for n in range(60)]
     return [s for s in names if plan.needs_owner_decision(s, now())]
 
 
-def find_asked(net: Net) -> tuple[str, str, str]:
-    """Return a session that i1 has to ask about, and who decides on it."""
-    for session in find_contested(net):
+def find_remote_session(network: Network) -> tuple[str, str, str]:
+    """Return a session that i1 has to query, and its two owners."""
+    for session in find_contested(network):
         first, second, third = rank(session, NAMES)
         if third == "i1":
             return session, first, second
@@ -80,303 +80,310 @@
 
 
 def test_decide_alike_everywhere() -> None:
-    """Two requests of a session reach two instances in the same moment.
+    """Two requests of a session reach two instances at the same time.
 
-    Each by itself would see a session that it does not know; one decides for both.
+    Neither instance has seen the session, so one owner decides for both.
     """
 
     async def case() -> None:
-        net = Net()
-        for session in find_contested(net):
+        network = Network()
+        for session in find_contested(network):
             decided = {
-                await net.desks[name].decide(net.plans[name], session) for name in NAMES
+                await network.coordinators[name].decide(network.plans[name], session)
+                for name in NAMES
             }
             assert decided == {True}
 
     asyncio.run(case())
 
 
-def test_keep_a_session_that_another_instance_saw() -> None:
+def test_keep_a_session_seen_by_another_instance() -> None:
     async def case() -> None:
-        net = Net()
+        network = Network()
         seen_at = "i2"
-        plan = net.plans[seen_at]
-        for session in find_contested(net):
+        plan = network.plans[seen_at]
+        for session in find_contested(network):
             plan.record_old_started(session, now())
-        net.desks[seen_at].report_in_use(plan)
-        for session in find_contested(net):
+        network.coordinators[seen_at].report_in_use(plan)
+        for session in find_contested(network):
             for name in NAMES:
-                assert not await net.desks[name].decide(net.plans[name], session)
-        before = net.count
-        net.desks[seen_at].report_in_use(plan)
-        assert net.count == before
+                assert not await network.coordinators[name].decide(
+                    network.plans[name], session
+                )
+        before = network.count
+        network.coordinators[seen_at].report_in_use(plan)
+        assert network.count == before
 
     asyncio.run(case())
 
 
-def test_keep_the_old_version_when_nobody_answers() -> None:
+def test_keep_the_old_version_without_a_reply() -> None:
     async def case() -> None:
-        net = Net()
-        net.lost = True
-        contested = find_contested(net)
-        desk, plan = net.desks["i1"], net.plans["i1"]
-        decided = [await desk.decide(plan, session) for session in contested[:6]]
+        network = Network()
+        network.lost = True
+        contested = find_contested(network)
+        coordinator, plan = network.coordinators["i1"], network.plans["i1"]
+        decided = [await coordinator.decide(plan, session) for session in contested[:6]]
         assert False in decided
 
     asyncio.run(case())
 
 
-def test_tell_again_when_word_of_sessions_is_lost(
+def test_resend_a_lost_report(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The datagram that names the sessions in use is lost right after the order.
+    """The datagram that lists the sessions in use is lost right after the order.
 
-    Their decider would move them to the new version in the middle of a conversation.
+    Their owner would move them to the new version in the middle of a conversation.
     """
 
     async def case() -> None:
-        net = Net()
+        network = Network()
         seen_at = "i2"
-        plan, desk = net.plans[seen_at], net.desks[seen_at]
-        contested = find_contested(net)
+        plan, coordinator = network.plans[seen_at], network.coordinators[seen_at]
+        contested = find_contested(network)
         for session in contested:
             plan.record_old_started(session, now())
-        net.lost = True
-        desk.report_in_use(plan)
-        net.lost = False
+        network.lost = True
+        coordinator.report_in_use(plan)
+        network.lost = False
         later = now() + sessions.RESEND_INTERVAL_S
         monkeypatch.setattr(sessions, "now", lambda: later)
-        desk.tick()
+        coordinator.tick()
         for session in contested:
             for name in NAMES:
-                assert not await net.desks[name].decide(net.plans[name], session)
-        before = net.count
-        desk.tick()
-        assert net.count == before
+                assert not await network.coordinators[name].decide(
+                    network.plans[name], session
+                )
+        before = network.count
+        coordinator.tick()
+        assert network.count == before
 
     asyncio.run(case())
 
 
-def test_ask_the_second_when_the_first_started_after_the_order() -> None:
-    """The instance that decides is stopped in turn and is back before the first half.
+def test_query_the_second_owner_if_the_first_started_after_the_order() -> None:
+    """The first owner is restarted and is back before half of the roll-out.
 
-    It knows no session in use. By its word all of them would move.
+    It knows no session in use, so by its decision all of them would move.
     """
 
     async def case() -> None:
-        net = Net()
+        network = Network()
         seen_at = "i2"
-        plan = net.plans[seen_at]
-        contested = find_contested(net)
+        plan = network.plans[seen_at]
+        contested = find_contested(network)
         for session in contested:
             plan.record_old_started(session, now())
-        net.desks[seen_at].report_in_use(plan)
+        network.coordinators[seen_at].report_in_use(plan)
         fresh = VersionPlan(service="s", bounds=RoutingBounds(exposure_share=1.0))
         fresh.apply_order(ORDER, now() - 10.0, served_before_order=False)
         fresh.update_target(usable=True, now=now() - 9.0)
         fresh.permit(requested_at=now() + 60.0)
-        net.restart("i1", fresh)
+        network.restart("i1", fresh)
         for session in contested:
             for name in NAMES:
-                assert not await net.desks[name].decide(net.plans[name], session)
+                assert not await network.coordinators[name].decide(
+                    network.plans[name], session
+                )
 
     asyncio.run(case())
 
 
-def test_stay_on_the_old_version_after_a_lost_answer() -> None:
-    """A decider moves a session, and nobody hears its answers.
+def test_stay_on_the_old_version_after_lost_replies() -> None:
+    """An owner moves a session, and its replies are lost.
 
-    The request stays on the old version; the session's next one must stay as well.
+    The request stays on the old version, so the session's next request must stay too.
     """
 
     async def case() -> None:
-        net = Net()
-        desk, plan = net.desks["i1"], net.plans["i1"]
-        session = next(s for s in find_contested(net) if rank(s, NAMES)[0] == "i3")
-        net.desks["i1"].set_members(["i1", "i3"])
-        net.lose[VersionReply] = 2
-        net.plans["i1"].served_before_order = False
-        assert not await desk.decide(plan, session)
-        assert not await net.desks["i2"].decide(net.plans["i2"], session)
+        network = Network()
+        coordinator, plan = network.coordinators["i1"], network.plans["i1"]
+        session = next(s for s in find_contested(network) if rank(s, NAMES)[0] == "i3")
+        network.coordinators["i1"].set_members(["i1", "i3"])
+        network.lose[VersionReply] = 2
+        network.plans["i1"].served_before_order = False
+        assert not await coordinator.decide(plan, session)
+        assert not await network.coordinators["i2"].decide(network.plans["i2"], session)
 
     asyncio.run(case())
 
 
-def test_ask_again_before_a_session_stays() -> None:
-    """Both deciders are slow: a session that has moved went back to the old version."""
+def test_query_again_before_a_session_stays() -> None:
+    """Both owners are slow: a moved session would return to the old version."""
 
     async def case() -> None:
-        net = Net()
-        desk, plan = net.desks["i1"], net.plans["i1"]
-        session, _, _ = find_asked(net)
-        assert await net.desks["i2"].decide(net.plans["i2"], session)
-        net.lose[VersionQuery] = 2
-        assert await desk.decide(plan, session)
+        network = Network()
+        coordinator, plan = network.coordinators["i1"], network.plans["i1"]
+        session, _, _ = find_remote_session(network)
+        assert await network.coordinators["i2"].decide(network.plans["i2"], session)
+        network.lose[VersionQuery] = 2
+        assert await coordinator.decide(plan, session)
 
     asyncio.run(case())
 
 
-def test_know_a_moved_session_without_its_deciders() -> None:
+def test_keep_a_moved_session_without_its_owners() -> None:
     async def case() -> None:
-        net = Net()
-        desk, plan = net.desks["i1"], net.plans["i1"]
-        session, _, _ = find_asked(net)
-        assert await desk.decide(plan, session)
-        desk.report_new(plan, session)
-        net.lost = True
-        assert await desk.decide(plan, session)
+        network = Network()
+        coordinator, plan = network.coordinators["i1"], network.plans["i1"]
+        session, _, _ = find_remote_session(network)
+        assert await coordinator.decide(plan, session)
+        coordinator.report_new(plan, session)
+        network.lost = True
+        assert await coordinator.decide(plan, session)
 
     asyncio.run(case())
 
 
-def test_tell_the_second_decider_what_has_moved() -> None:
-    """The first decider is gone, and the second one sent a moved session back."""
+def test_report_moved_sessions_to_the_second_owner() -> None:
+    """The first owner fails: the second one would send a moved session back."""
 
     async def case() -> None:
-        net = Net()
-        session, first, second = find_asked(net)
-        desk, plan = net.desks["i1"], net.plans["i1"]
-        assert await desk.decide(plan, session)
-        desk.report_new(plan, session)
-        for each in net.plans.values():
+        network = Network()
+        session, first, second = find_remote_session(network)
+        coordinator, plan = network.coordinators["i1"], network.plans["i1"]
+        assert await coordinator.decide(plan, session)
+        coordinator.report_new(plan, session)
+        for each in network.plans.values():
             each.permit(requested_at=now(), admits=False)
         left = [name for name in NAMES if name != first]
         for name in left:
-            net.desks[name].set_members(left)
-        assert await net.desks[second].decide(net.plans[second], session)
+            network.coordinators[name].set_members(left)
+        assert await network.coordinators[second].decide(network.plans[second], session)
 
     asyncio.run(case())
 
 
-def test_tell_those_that_decide_once_members_have_changed() -> None:
-    """Both deciders were killed and start anew: they know of no session that moved."""
+def test_report_moved_sessions_after_a_membership_change() -> None:
+    """Both owners were killed and restart without knowing which sessions have moved."""
 
     async def case() -> None:
-        net = Net()
-        session, first, second = find_asked(net)
-        desk, plan = net.desks["i1"], net.plans["i1"]
-        desk.report_in_use(plan)
-        assert await desk.decide(plan, session)
-        desk.report_new(plan, session)
-        desk.set_members(["i1"])
+        network = Network()
+        session, first, second = find_remote_session(network)
+        coordinator, plan = network.coordinators["i1"], network.plans["i1"]
+        coordinator.report_in_use(plan)
+        assert await coordinator.decide(plan, session)
+        coordinator.report_new(plan, session)
+        coordinator.set_members(["i1"])
         for name in (first, second):
             fresh = VersionPlan(service="s", bounds=RoutingBounds(exposure_share=1.0))
             fresh.apply_order(ORDER, now() - 10.0, served_before_order=False)
-            net.restart(name, fresh)
-        desk.set_members(NAMES)
-        assert net.plans[first].pins.is_admitted(session)
-        assert net.plans[second].pins.is_admitted(session)
+            network.restart(name, fresh)
+        coordinator.set_members(NAMES)
+        assert network.plans[first].pins.is_admitted(session)
+        assert network.plans[second].pins.is_admitted(session)
 
     asyncio.run(case())
 
 
-def test_decide_nothing_in_the_second_half_that_none_could_have_moved() -> None:
-    """Restarted deciders let all sessions onto the trial in its last part."""
+def test_keep_ineligible_sessions_in_the_second_half() -> None:
+    """Restarted owners would move all sessions to the canary in its last part."""
 
     async def case() -> None:
-        net = Net()
+        network = Network()
         fresh = VersionPlan(service="s", bounds=RoutingBounds(exposure_share=0.1))
         fresh.apply_order(ORDER, now() - 55.0, served_before_order=False)
         fresh.update_target(usable=True, now=now() - 50.0)
         for name in NAMES:
-            net.restart(name, fresh)
+            network.restart(name, fresh)
         outside = next(f"s{n}" for n in range(60) if not fresh.may_join_canary(f"s{n}"))
         assert fresh.needs_owner_decision(outside, now())
-        assert not await net.desks["i1"].decide(fresh, outside)
+        assert not await network.coordinators["i1"].decide(fresh, outside)
 
     asyncio.run(case())
 
 
-def test_keep_a_session_in_use_as_long_as_its_stream_runs(
+def test_keep_a_session_in_use_while_its_stream_runs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A stream runs for longer than a pause; word of it was told at its begin only."""
+    """A stream outlasts the idle time of its session and was only reported once."""
 
     async def case() -> None:
-        net = Net()
-        plan, desk = net.plans["i1"], net.desks["i1"]
-        session = next(s for s in find_contested(net) if rank(s, NAMES)[0] == "i2")
+        network = Network()
+        plan, coordinator = network.plans["i1"], network.coordinators["i1"]
+        session = next(s for s in find_contested(network) if rank(s, NAMES)[0] == "i2")
         plan.record_old_started(session, now())
-        desk.report_in_use(plan)
+        coordinator.report_in_use(plan)
         began = now()
         for seconds in range(2, 20, 2):
             later = began + seconds
             monkeypatch.setattr(sessions, "now", lambda later=later: later)
-            for each in net.plans.values():
+            for each in network.plans.values():
                 each.permit(requested_at=later)
-            desk.tick()
-        assert not await net.desks["i3"].decide(net.plans["i3"], session)
+            coordinator.tick()
+        assert not await network.coordinators["i3"].decide(network.plans["i3"], session)
 
     asyncio.run(case())
 
 
-def test_decide_nothing_right_after_a_cut() -> None:
-    """A decider that was cut off let a session move that was in use elsewhere."""
+def test_do_not_decide_right_after_a_partition() -> None:
+    """An owner that was partitioned would move a session in use elsewhere."""
 
     async def case() -> None:
-        net = Net()
-        session, first, second = find_asked(net)
-        plan = net.plans["i1"]
+        network = Network()
+        session, first, second = find_remote_session(network)
+        plan = network.plans["i1"]
         plan.record_old_started(session, now())
-        net.desks[second].handle(
+        network.coordinators[second].handle(
             "i1",
             SessionUseReport(sequence=1, service="s", number=1, ages={session: 0.0}),
         )
         permission = Permission()
         permission.permit(requested_at=now() - 9.0, admits=True)
         permission.permit(requested_at=now(), admits=True)
-        net.plans[first].permission = permission
-        assert not await net.desks["i1"].decide(plan, session)
+        network.plans[first].permission = permission
+        assert not await network.coordinators["i1"].decide(plan, session)
 
     asyncio.run(case())
 
 
-def test_tell_of_uses_once_members_have_changed() -> None:
+def test_report_sessions_in_use_after_a_membership_change() -> None:
     async def case() -> None:
-        net = Net()
-        desk, plan = net.desks["i1"], net.plans["i1"]
-        desk.report_in_use(plan)
-        session, _, _ = find_asked(net)
-        desk.set_members(["i1"])
+        network = Network()
+        coordinator, plan = network.coordinators["i1"], network.plans["i1"]
+        coordinator.report_in_use(plan)
+        session, _, _ = find_remote_session(network)
+        coordinator.set_members(["i1"])
         plan.record_old_started(session, now())
-        desk.report_old(plan, session)
-        desk.set_members(NAMES)
+        coordinator.report_old(plan, session)
+        coordinator.set_members(NAMES)
         for name in rank(session, NAMES)[:2]:
-            assert net.plans[name].pins.is_in_use(session, now())
+            assert network.plans[name].pins.is_in_use(session, now())
 
     asyncio.run(case())
 
 
-def test_let_the_first_decider_answer_for_what_it_let_in() -> None:
-    """A question is lost at the end; the second decider sent the session back."""
+def test_prefer_the_first_owner_for_sessions_that_it_moved() -> None:
+    """A query is lost in the final phase: the second owner would send it back."""
 
     async def case() -> None:
-        net = Net()
-        session, first, second = find_asked(net)
-        for plan in net.plans.values():
+        network = Network()
+        session, first, second = find_remote_session(network)
+        for plan in network.plans.values():
             plan.begin_final_phase(now(), quota=0.0)
-        net.plans[first].final_budget = FinalPhaseBudget(quota=9.0)
-        desk, plan = net.desks["i1"], net.plans["i1"]
-        assert await desk.decide(plan, session)
-        net.lose[VersionQuery] = 1
-        assert await desk.decide(plan, session)
-        assert not net.plans[second].pins.is_admitted(session)
+        network.plans[first].final_budget = FinalPhaseBudget(quota=9.0)
+        coordinator, plan = network.coordinators["i1"], network.plans["i1"]
+        assert await coordinator.decide(plan, session)
+        network.lose[VersionQuery] = 1
+        assert await coordinator.decide(plan, session)
+        assert not network.plans[second].pins.is_admitted(session)
 
     asyncio.run(case())
 
 
-def test_know_at_the_first_decider_what_the_second_let_in() -> None:
+def test_report_to_the_first_owner_what_the_second_moved() -> None:
     async def case() -> None:
-        net = Net()
-        session, first, second = find_asked(net)
-        for plan in net.plans.values():
+        network = Network()
+        session, first, second = find_remote_session(network)
+        for plan in network.plans.values():
             plan.begin_final_phase(now(), quota=0.0)
-        net.plans[second].final_budget = FinalPhaseBudget(quota=9.0)
-        net.lose[VersionQuery] = 1
-        desk, plan = net.desks["i1"], net.plans["i1"]
-        assert await desk.decide(plan, session)
-        desk.report_new(plan, session)
-        assert net.plans[first].pins.is_admitted(session)
-        assert await desk.decide(plan, session)
+        network.plans[second].final_budget = FinalPhaseBudget(quota=9.0)
+        network.lose[VersionQuery] = 1
+        coordinator, plan = network.coordinators["i1"], network.plans["i1"]
+        assert await coordinator.decide(plan, session)
+        coordinator.report_new(plan, session)
+        assert network.plans[first].pins.is_admitted(session)
+        assert await coordinator.decide(plan, session)
 
     asyncio.run(case())
