--- a/src/baobabthread/instance/errorresponses.py
+++ b/src/baobabthread/instance/errorresponses.py
@@ -1,4 +1,8 @@
-"""Final answers of this side's own: refusals that are true, and failures."""
+"""Error responses of the instance itself: rejections and failures.
+
+Status 503 means that a request has not run and may be sent again, 502 and 504 that it
+may have run.
+"""
 
 from __future__ import annotations
 
@@ -9,10 +13,10 @@
 from baobabthread.routing.quarantine import QuarantineEntry
 
 RETRY_AFTER_S = 0.5
-"""Time after which a caller may come back to an instance that has nothing to offer."""
+"""Time after which a caller may retry at an instance that can't serve it now."""
 
 RETRY_ELSEWHERE_AFTER_S = 0.05
-"""Time after which a caller may go to another instance: at once."""
+"""Time after which a caller may retry at another instance: almost at once."""
 STOPPED_KIND = "instance_stopped"
 QUARANTINED_KIND = "quarantined"
 MIN_QUARANTINE_S = 1.0
@@ -29,7 +33,7 @@
 
 
 class ErrorResponses:
-    """End requests that get no answer of a backend server."""
+    """Send the final response of requests that a backend server did not answer."""
 
     __slots__ = ("_log", "_rng")
 
@@ -38,21 +42,21 @@
         self._rng = rng
 
     async def time_out(self, context: RequestContext) -> None:
-        """End a request whose time is over."""
+        """End a request whose deadline has passed."""
         if self._has_not_run(context):
             await self.reject(context, "no_time_left", None)
         else:
             await self._fail(context, 504, "timeout")
 
     async def give_up(self, context: RequestContext, kind: str) -> None:
-        """End a request for which nothing is left to try."""
+        """End a request for which no attempt is left."""
         if self._has_not_run(context):
             await self.reject(context, kind, RETRY_AFTER_S * (1 + self._rng.random()))
         else:
             await self._fail(context, 502, kind)
 
     async def abort_on_stop(self, context: RequestContext) -> None:
-        """End a request that this instance's own end overtakes."""
+        """End a request that is still running when this instance stops."""
         self._log.record_cut_by_stop(context)
         if context.reply.has_begun:
             context.reply.abort()
@@ -62,18 +66,18 @@
             await context.reply.reject(502, STOPPED_KIND, None)
 
     async def reject_quarantined(
-        self, context: RequestContext, held: QuarantineEntry
+        self, context: RequestContext, entry: QuarantineEntry
     ) -> None:
-        """End a request under which backend servers crash, and say what to do."""
-        left_s = max(MIN_QUARANTINE_S, held.left_s)
+        """Reject a quarantined request, with advice for the caller."""
+        left_s = max(MIN_QUARANTINE_S, entry.left_s)
         self._log.record_quarantined(context)
         if context.reply.has_begun:
             context.reply.abort()
             return
-        not_run = self._has_not_run(context)
-        status, what = (503, NOT_RUN) if not_run else (502, MAY_HAVE_RUN)
+        has_not_run = self._has_not_run(context)
+        status, execution = (503, NOT_RUN) if has_not_run else (502, MAY_HAVE_RUN)
         detail = (
-            f"{QUARANTINE_REASON} {what} "
+            f"{QUARANTINE_REASON} {execution} "
             f"{QUARANTINE_ADVICE.format(left_s=round(left_s))}"
         )
         await context.reply.reject(status, QUARANTINED_KIND, left_s, detail)
@@ -81,7 +85,7 @@
     async def reject(
         self, context: RequestContext, kind: str, retry_after_s: float | None
     ) -> None:
-        """Refuse a request that has not run and never will."""
+        """Reject a request that has not run and will not."""
         self._log.record_failure(context, kind, 503)
         await context.reply.reject(503, kind, retry_after_s)
 
@@ -93,6 +97,6 @@
             await context.reply.reject(status, kind, None)
 
     def _has_not_run(self, context: RequestContext) -> bool:
-        # 503 promises that the request has not run: callers then send a warning again
-        # that may not go out twice.
+        # Status 503 guarantees that the request has not run: callers then repeat even
+        # a warning that must not be sent twice.
         return context.runs == 0 and not context.reply.has_begun
--- a/src/baobabthread/instance/events.py
+++ b/src/baobabthread/instance/events.py
@@ -1,4 +1,4 @@
-"""Cutting a stream's bytes into whole events."""
+"""Splitting of a byte stream into complete server-sent events."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 
 
 class CompleteEvents(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the bytes of whole events and the id of the last one."""
+    """The bytes of complete events and the id of the last one."""
 
     data: bytes
     last_id: str | None
 
 
 class EventSplitter:
-    """Hold back what is not yet a whole event, and drop what was passed on before.
+    """Buffer incomplete events, and drop events that were forwarded before.
 
-    A backend server may stop within an event; the next one begins with a whole one. A
-    part that had been passed on would join two pieces to one that nobody made.
+    A backend server may stop within an event, and the next server starts with a
+    complete one. If the incomplete part had been forwarded, the caller would join two
+    pieces into an event that no server sent.
     """
 
     __slots__ = ("_buffer", "_last_forwarded")
@@ -32,25 +33,25 @@
 
     @property
     def is_drained(self) -> bool:
-        """Tell whether nothing is held back."""
+        """Whether the buffer holds no incomplete event."""
         return not self._buffer.strip()
 
     def feed(self, data: bytes) -> CompleteEvents:
-        """Return the whole events that are complete now."""
+        """Buffer data, and return the events that are complete now."""
         self._buffer += data
-        out: list[bytes] = []
+        events: list[bytes] = []
         last_id = None
         start = 0
-        for found in _EVENT_END.finditer(self._buffer):
-            event = self._buffer[start : found.end()]
-            start = found.end()
+        for match in _EVENT_END.finditer(self._buffer):
+            event = self._buffer[start : match.end()]
+            start = match.end()
             id = _find_id(event)
             if self._was_forwarded(id):
                 continue
-            out.append(event)
+            events.append(event)
             last_id = id if id is not None else last_id
         self._buffer = self._buffer[start:]
-        return CompleteEvents(data=b"".join(out), last_id=last_id)
+        return CompleteEvents(data=b"".join(events), last_id=last_id)
 
     def _was_forwarded(self, id: str | None) -> bool:
         number = _parse_id(id)
@@ -60,8 +61,8 @@
 
 
 def _find_id(event: bytes) -> str | None:
-    found = _ID_FIELD.search(event)
-    return found.group(1).decode(errors="replace").strip() if found else None
+    match = _ID_FIELD.search(event)
+    return match.group(1).decode(errors="replace").strip() if match else None
 
 
 def _parse_id(id: str | None) -> int | None:
--- a/src/baobabthread/instance/peers.py
+++ b/src/baobabthread/instance/peers.py
@@ -1,4 +1,4 @@
-"""Other instances: who serves, what they know, and small values that they share."""
+"""The link to other instances: membership, replica snapshots and gossiped values."""
 
 from __future__ import annotations
 
@@ -70,19 +70,19 @@
 
 SNAPSHOT_PATH = "/peer/knowledge"
 KNOWN_END_PARAMETER = "known_end"
-"""Query field: how far the one who asks has read the operators' records."""
+"""Query parameter: end of the operators' records known to the requesting instance."""
 TICK_INTERVAL_S = 0.05
 MAX_DATAGRAM_BYTES = 60_000
 CONNECT_TIMEOUT_S = 0.4
-"""Longest time for a connection to a peer; another one is asked after it."""
+"""Timeout for connecting to a peer."""
 FETCH_TIMEOUT_S = 2.0
-"""Longest time for a peer's answer: a large configuration takes half a second and more
-over the slowest links."""
+"""Timeout of a peer's response: a large configuration takes half a second or more over
+the slowest links."""
 MIN_FETCH_INTERVAL_S = 0.3
-"""Least time between two questions to peers."""
+"""Shortest time between two fetches when the store fails."""
 STALE_FRACTION = 0.8
-"""Part of the oldest age from which a peer is asked: the store was silent longer than
-one read takes."""
+"""Fraction of the largest permitted age from which a peer's snapshot is fetched: the
+store has not responded for longer than one read takes by then."""
 MAX_SNAPSHOT_BYTES = 32_000_000
 MEMBERSHIP_SETTINGS = MembershipSettings(
     small_period_s=0.2,
@@ -91,12 +91,12 @@
     forget_s=60.0,
     fetch_after_s=0.0,
 )
-"""With six members each one is probed about once a second; a dead one leaves the
-addresses within about a second, before most callers have met it twice."""
+"""With six members, each one is probed about once a second. A failed one leaves the
+address list within about a second, before most callers have tried it twice."""
 
 
 class PeerLink(asyncio.DatagramProtocol):
-    """Exchange membership messages with other instances by datagrams."""
+    """Exchange datagrams with other instances, and fetch their snapshots."""
 
     def __init__(
         self,
@@ -161,11 +161,11 @@
     # -- datagrams --
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the socket."""
+        """Store the transport of the datagram socket."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take in a peer's messages."""
+        """Decode a datagram and dispatch its messages."""
         try:
             sender, messages = self._codec.decode(data)
         except msgspec.MsgspecError as error:
@@ -202,20 +202,20 @@
                 self._apply_effects(self.membership.handle(sender, message, now()))
 
     def error_received(self, exc: Exception) -> None:
-        """Pass over an unreachable port: the probes find out who is gone."""
+        """Ignore errors such as an unreachable port; probes detect failed members."""
 
     async def run(self) -> None:
-        """Probe and judge until cancelled."""
+        """Probe members and send due messages until cancelled."""
         while True:
             self._step()
             await asyncio.sleep(TICK_INTERVAL_S)
 
     def _step(self) -> None:
-        knowledge = self._replica
-        table = knowledge.table
+        replica = self._replica
+        table = replica.table
         self.membership.report(
             generation=table.configuration.version if table is not None else 0,
-            read_offset=knowledge.operators_end,
+            read_offset=replica.operators_end,
         )
         self._apply_effects(self.membership.tick(now()))
         self._update_members()
@@ -226,11 +226,11 @@
         self.quarantine.tick()
 
     def leave(self) -> None:
-        """Tell the others that this instance takes no new callers."""
+        """Announce that this instance accepts no new callers."""
         self._apply_effects(self.membership.leave(now()))
 
     def close(self) -> None:
-        """Close the socket and what is idle."""
+        """Close the socket and all idle connections."""
         if self._transport is not None:
             self._transport.close()
         for pool in self._pools.values():
@@ -258,8 +258,8 @@
             return
         host, _, port = self.membership.peer_address(effect.to).rpartition(":")
         if not port.isdigit():
-            # Somebody asked before the members' list named it here. It asks again, and
-            # is known by then.
+            # A member sent a query before the member list here contained it. It will
+            # query again and be known by then.
             log_event(
                 "peer_unknown", peer=effect.to, kind=type(effect.message).__name__
             )
@@ -286,18 +286,18 @@
             known=len(self.membership.members()),
         )
 
-    # -- what peers know --
+    # -- snapshots of peers --
 
     async def fetch_if_stale(self) -> None:
-        """Ask some peer for what it knows when the store was silent for a while."""
-        moment = now()
-        age = max(
-            self._replica.operators_age(moment), self._replica.backends_age(moment)
+        """Fetch a random peer's snapshot if the replica is almost too old or behind."""
+        now_s = now()
+        age_s = max(
+            self._replica.operators_age(now_s), self._replica.backends_age(now_s)
         )
-        stale_s = STALE_FRACTION * self.replica_sync.limits.operators_s
-        if age < stale_s and not self.replica_sync.is_behind:
+        limit_s = STALE_FRACTION * self.replica_sync.limits.operators_s
+        if age_s < limit_s and not self.replica_sync.is_behind:
             return
-        if moment - self._fetched_at < MIN_FETCH_INTERVAL_S:
+        if now_s - self._fetched_at < MIN_FETCH_INTERVAL_S:
             return
         me = self.membership.me.name
         peers = [m.name for m in self.membership.alive() if m.name != me]
@@ -309,7 +309,7 @@
             self.fetch(self._rng.choice(peers))
 
     def fetch(self, peer: str) -> None:
-        """Ask one peer for what it knows, one question at a time."""
+        """Start to fetch a peer's snapshot, unless a fetch is already running."""
         if self._fetching is not None and not self._fetching.done():
             return
         self._fetched_at = now()
@@ -322,7 +322,7 @@
         if pool is None:
             pool = ConnectionPool(address=address, connect_s=CONNECT_TIMEOUT_S)
             self._pools[address] = pool
-        asked_at = now()
+        requested_at = now()
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_S):
                 body = await _request_snapshot(
@@ -337,12 +337,12 @@
         ) as error:
             log_event("peer_unreachable", peer=peer, error=str(error) or "timeout")
             return
-        before = self._replica.revision
-        self._replica.merge(snapshot, requested_at=asked_at, now=now())
+        revision = self._replica.revision
+        self._replica.merge(snapshot, requested_at=requested_at, now=now())
         log_event(
             "peer_asked",
             peer=peer,
-            news=self._replica.revision != before,
+            news=self._replica.revision != revision,
             operators_age_ms=round(min(snapshot.operators_age_s, 1e6) * 1000),
             backends_age_ms=round(min(snapshot.backends_age_s, 1e6) * 1000),
         )
@@ -350,10 +350,10 @@
     def _is_own_address(self, address: str) -> bool:
         return address == self._settings.gossip_address
 
-    # -- small values that spread --
+    # -- gossiped values --
 
     def publish(self, topic: str, value: msgspec.Struct) -> None:
-        """Spread a value of this instance unless it did so last time."""
+        """Publish a value by gossip, unless it equals the last one of its topic."""
         body = msgspec.json.encode(value)
         if self._published.get(topic) == body:
             return
@@ -369,7 +369,7 @@
         )
 
     def received(self, topic: str) -> Iterator[GossipPayload]:
-        """Return the newest value of each other instance."""
+        """Return the newest value of each other instance for a topic."""
         for payload in self.membership.gossip.topic(topic):
             if payload.origin != self.incarnation:
                 yield payload
@@ -389,5 +389,5 @@
         raise
     response.finish()
     if response.status != 200:
-        raise IncompleteResponseError(f"status {response.status}")
+        raise IncompleteResponseError(f"peer responded with status {response.status}")
     return body
--- a/src/baobabthread/instance/process.py
+++ b/src/baobabthread/instance/process.py
@@ -1,4 +1,4 @@
-"""The life of one instance: start, serve, leave, end."""
+"""The process of one instance, from start to graceful shutdown."""
 
 from __future__ import annotations
 
@@ -43,17 +43,17 @@
 TICK_INTERVAL_S = 0.1
 PRUNE_INTERVAL_S = 1.0
 GC_THRESHOLD = 20_000
-"""Objects after which the cycle collector looks for cycles; requests leave few."""
+"""Net allocations of objects before a garbage collection; requests leave few cycles."""
 
 
 class Interface(Protocol):
-    """Answer questions about this instance and the others."""
+    """Serve the readiness and the directory of instances."""
 
     async def serve_readiness(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Tell whether this instance takes callers."""
+        """Respond whether this instance accepts callers."""
 
     async def serve_directory(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Tell which addresses a caller may connect to."""
+        """Respond with the addresses that a caller may connect to."""
 
 
 MakeInterface = Callable[
@@ -62,7 +62,7 @@
 
 
 class Adapters(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the adapters through which an instance meets the outside."""
+    """Adapters that connect an instance to its platform."""
 
     store: Any
     """A `Store`."""
@@ -148,7 +148,7 @@
         self._caller_server: asyncio.Server | None = None
         self._capacity_inputs: tuple[int, int] | None = None
         self._membership_version = -1
-        self._pulse = StallDetector(now=now())
+        self._stalls = StallDetector(now=now())
 
     def _connect_quarantine(self) -> None:
         coordinator = self.peers.quarantine
@@ -157,20 +157,18 @@
         coordinator.find_versions = self.backends.versions
         coordinator.was_answered = self.crashes.was_answered
         coordinator.on_quarantined = self.crashes.cancel
-        self.crashes.on_answered = lambda flight: coordinator.release_answered(
-            flight.fingerprint
+        self.crashes.on_answered = lambda context: coordinator.release_answered(
+            context.fingerprint
         )
 
-    # -- what others may ask --
-
     @property
     def is_leaving(self) -> bool:
-        """Tell whether this instance was told to stop."""
+        """Whether this instance has been asked to stop."""
         return self._stop_plan is not None
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Whether callers may connect to this instance."""
         return (
             not self.is_leaving
             and self.replica.table is not None
@@ -180,18 +178,18 @@
     def find_addresses(
         self, failure_domain: str | None, region: str | None
     ) -> AddressList:
-        """Return which instances a caller may connect to."""
+        """Return the addresses of instances that a caller may connect to."""
         membership = self.peers.membership
         table = self.replica.table
-        dark = membership.table.list_dark_domains()
+        failed = membership.table.list_dark_domains()
         return list_addresses(
             me=membership.me,
             serving=membership.alive(),
             is_ready=self.is_ready,
-            # Failure: a domain goes dark, and the last of its members that nobody has
-            # probed yet are named to callers for seconds.
+            # When a whole failure domain fails, its members that have not been probed
+            # yet would otherwise be listed for seconds.
             is_stale=lambda member: (
-                member.failure_domain in dark or self.staleness.is_stale(member)
+                member.failure_domain in failed or self.staleness.is_stale(member)
             ),
             failure_domain=failure_domain,
             max_lifetime_s=self._settings.bounds.max_lifetime_s,
@@ -201,18 +199,18 @@
         )
 
     async def serve_peer(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Tell a peer what this instance knows."""
+        """Serve a snapshot of the replica to a peer."""
         if request.path != SNAPSHOT_PATH:
             return web.Response(status=404)
-        known = request.query.get(KNOWN_END_PARAMETER, "0")
+        known_end = request.query.get(KNOWN_END_PARAMETER, "0")
         snapshot = self.replica.snapshot(
-            now(), known_end=int(known) if known.isdigit() else 0
+            now(), known_end=int(known_end) if known_end.isdigit() else 0
         )
         body = msgspec.json.encode(snapshot)
         return web.Response(body=body, content_type="application/json")
 
     async def serve_metrics(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Give the figures as text."""
+        """Serve the metrics as text."""
         if request.path != self._adapters.metrics_path:
             return web.Response(status=404)
         self.metrics.in_flight.set(self.forwarder.in_flight)
@@ -228,24 +226,22 @@
             exposed.set(state.plan.exposure.report().exposed)
         return web.Response(body=self.metrics.render(), content_type="text/plain")
 
-    # -- life --
-
     async def run(self) -> int:
-        """Serve until told to stop and until nothing is in flight; return 0."""
-        told = asyncio.Event()
-        self._handle_signals(told)
+        """Serve until stopped and all requests have completed; return the exit code."""
+        stop_requested = asyncio.Event()
+        self._handle_signals(stop_requested)
         async with AsyncExitStack() as stack:
             handler = configure_logging()
             stack.callback(handler.flush)
             start_task(stack, run_log_flusher(handler))
             await self.start(stack)
             _tune_collector()
-            await told.wait()
+            await stop_requested.wait()
             await self.leave()
         return 0
 
     async def start(self, stack: AsyncExitStack) -> None:
-        """Open the listeners and begin to follow the store; the stack ends it all."""
+        """Open the listeners and start the tasks; closing the stack ends them."""
         stack.callback(self.backends.close)
         stack.callback(self.crashes.close)
         await self._open(stack)
@@ -261,10 +257,10 @@
         )
 
     async def leave(self) -> None:
-        """Serve on while callers may still hold the address, then end."""
-        earliest = self._pulse.find_earliest_signal(now())
+        """Keep serving while callers may still use the address, then shut down."""
+        signalled_at = self._stalls.find_earliest_signal(now())
         grace_s = self._settings.bounds.grace_s
-        plan = plan_stop(grace_s=grace_s, now=now(), signalled_at=earliest)
+        plan = plan_stop(grace_s=grace_s, now=now(), signalled_at=signalled_at)
         self._stop_plan = plan
         self.peers.leave()
         log_event(
@@ -293,24 +289,22 @@
         interface = self._adapters.make_interface(
             lambda: self.is_ready, self.find_addresses
         )
-        front = CallerServer(
+        caller_server = CallerServer(
             handle=self.forwarder.handle,
             wire=self._wire,
             is_leaving=lambda: self.is_leaving,
             body_limit=self._max_body_bytes,
         )
-        self._caller_server = await self._listen(
-            stack, front.serve, settings.callers_address
+        self._caller_server = await self._serve(
+            stack, caller_server.serve, settings.callers_address
         )
-        await self._listen(stack, self.serve_peer, settings.control_address)
-        await self._listen(stack, interface.serve_readiness, settings.readiness_address)
-        await self._listen(stack, interface.serve_directory, settings.directory_address)
+        await self._serve(stack, self.serve_peer, settings.control_address)
+        await self._serve(stack, interface.serve_readiness, settings.readiness_address)
+        await self._serve(stack, interface.serve_directory, settings.directory_address)
         if self._adapters.metrics_address is not None:
-            await self._listen(
-                stack, self.serve_metrics, self._adapters.metrics_address
-            )
+            await self._serve(stack, self.serve_metrics, self._adapters.metrics_address)
 
-    async def _listen(
+    async def _serve(
         self, stack: AsyncExitStack, serve: Any, address: str
     ) -> asyncio.Server:
         server = await listen(create_server(serve), address)
@@ -355,18 +349,15 @@
 
     async def _tick(self) -> None:
         while True:
-            self._pulse.tick(now())
+            self._stalls.tick(now())
             self.services.arrivals.tick(now())
             self.replica.expire_lapsed(now())
             self._update_members()
             self.backends.refresh()
-            sharing = (
-                len(self.peers.membership.alive()),
-                self.replica.revision,
-            )
-            if sharing != self._capacity_inputs:
-                self._capacity_inputs = sharing
-                self.services.set_instance_count(sharing[0])
+            inputs = (len(self.peers.membership.alive()), self.replica.revision)
+            if inputs != self._capacity_inputs:
+                self._capacity_inputs = inputs
+                self.services.set_instance_count(inputs[0])
             self.forwarder.turns.tick()
             self.staleness.tick(is_stale=not self.replica.is_fresh(now()))
             await asyncio.sleep(TICK_INTERVAL_S)
@@ -384,20 +375,18 @@
             self.backends.prune()
             self.crashes.prune()
 
-    def _handle_signals(self, told: asyncio.Event) -> None:
+    def _handle_signals(self, stop_requested: asyncio.Event) -> None:
         loop = asyncio.get_running_loop()
 
-        def take(number: signal.Signals) -> None:
-            late_ms = round((now() - self._pulse.find_earliest_signal(now())) * 1000)
-            again = told.is_set()
-            log_event(
-                "signal_received", signal=number.name, again=again, late_ms=late_ms
-            )
-            told.set()
-
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, take, number)
-        # Without a handler the signal ends the process, with all that it serves.
+        def handle(sig: signal.Signals) -> None:
+            late_ms = round((now() - self._stalls.find_earliest_signal(now())) * 1000)
+            again = stop_requested.is_set()
+            log_event("signal_received", signal=sig.name, again=again, late_ms=late_ms)
+            stop_requested.set()
+
+        for sig in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(sig, handle, sig)
+        # Without a handler, SIGHUP would terminate the process and all its requests.
         loop.add_signal_handler(signal.SIGHUP, self._reload)
 
     def _reload(self) -> None:
--- a/src/baobabthread/instance/quarantinerecords.py
+++ b/src/baobabthread/instance/quarantinerecords.py
@@ -1,4 +1,4 @@
-"""The list of held requests in the store, for the time when no instance is left."""
+"""Quarantine records in the store, which persist when no instance is running."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 POLL_INTERVAL_S = 0.25
 RETRY_DELAY_S = 0.5
-"""Pause after a call to the store that failed."""
+"""Delay after a failed call to the store."""
 STORE_TIMEOUT_S = 0.8
-"""Longest time for a call to the store."""
+"""Timeout of a call to the store."""
 
 
 class QuarantineRecords:
-    """Read the stored list at a start, and write what is missing there."""
+    """Read the stored quarantine at a start, and write entries that are missing."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self._formats = formats
 
     async def run(self) -> None:
-        """Follow what is due until cancelled."""
+        """Read and write records as due until cancelled."""
         while True:
             try:
                 await self._step()
@@ -61,13 +61,13 @@
             self._replica_sync.is_reader or coordinator.must_read_store
         ):
             await self._load()
-        moment = now()
-        for fingerprint, due in list(coordinator.unwritten.items()):
-            if moment >= due:
+        now_s = now()
+        for fingerprint, due_at in list(coordinator.unwritten.items()):
+            if now_s >= due_at:
                 await self._write(fingerprint)
 
     async def _load(self) -> tuple[dict[str, QuarantineEntry], int]:
-        """Take over what is stored; return it, and where the topic ends."""
+        """Apply the stored entries; return them with the end of the topic."""
         page = await self._store.newest(self._formats.status_topic, STORE_TIMEOUT_S)
         stored = self._decode(page)
         self._coordinator.apply_entries(list(stored.values()), source="store")
@@ -76,32 +76,33 @@
 
     async def _write(self, fingerprint: str) -> None:
         stored, end = await self._load()
-        before = stored.get(fingerprint)
-        held = self._coordinator.quarantine.get(fingerprint, now())
+        stored_entry = stored.get(fingerprint)
+        entry = self._coordinator.quarantine.get(fingerprint, now())
         append: Append | None = None
-        if held is None and before is not None:
+        if entry is None and stored_entry is not None:
             append = self._formats.encode_release(fingerprint, end)
-        elif held is not None and (
-            before is None or before.precedence < held.precedence
+        elif entry is not None and (
+            stored_entry is None or stored_entry.precedence < entry.precedence
         ):
-            append = self._formats.encode_quarantined(held, end, unix_now=time.time())
+            append = self._formats.encode_quarantined(entry, end, unix_now=time.time())
         if append is not None:
             if isinstance(await self._store.append(append, STORE_TIMEOUT_S), Conflict):
-                # Somebody else wrote meanwhile: read again at the next step.
+                # Another instance wrote in the meantime: read again at the next step.
                 return
-            log_event("held_stored", fingerprint=fingerprint, is_over=held is None)
+            log_event("held_stored", fingerprint=fingerprint, is_over=entry is None)
         self._coordinator.unwritten.pop(fingerprint, None)
 
     def _decode(self, page: Page) -> dict[str, QuarantineEntry]:
-        found = {}
-        # Clocks of machines may jump; an hour more or less holds nothing for ever.
+        entries = {}
+        # Machine clocks may jump; a difference of an hour does not quarantine a request
+        # forever.
         unix_now = time.time()
         for record in page.records:
             try:
-                held = self._formats.decode_quarantined(record, unix_now=unix_now)
+                entry = self._formats.decode_quarantined(record, unix_now=unix_now)
             except (msgspec.MsgspecError, BaobabthreadError) as error:
                 log_event("status_unreadable", key=record.key, error=str(error))
                 continue
-            if held is not None:
-                found[held.fingerprint] = held
-        return found
+            if entry is not None:
+                entries[entry.fingerprint] = entry
+        return entries
--- a/src/baobabthread/instance/scheduler.py
+++ b/src/baobabthread/instance/scheduler.py
@@ -1,4 +1,4 @@
-"""Waiting for one's turn in the queue of a service."""
+"""Scheduling of requests through the queues of the services."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from baobabthread.routing.queues import classify
 
 MIN_TIME_LEFT_S = 0.02
-"""Time left below which no attempt is worth its place at a backend server."""
+"""Time until the deadline below which an attempt isn't worth occupying a server."""
 
 
 class RequestScheduler:
-    """Let requests wait, start them in turn, refuse those that wait in vain."""
+    """Queue requests, start them in order, and reject those that wait too long."""
 
     __slots__ = (
         "_error_responses",
@@ -49,31 +49,31 @@
         self._sequence = 0
 
     def tick(self) -> None:
-        """Refuse what can't be served in time any more, and start what can."""
-        moment = now()
+        """Reject requests that can't be served in time, and start those that can."""
+        now_s = now()
         for state in self._services:
-            for waiting in state.queue.expire(moment):
-                self._resolve(waiting.request_id, rejected=True)
+            for entry in state.queue.expire(now_s):
+                self._resolve(entry.request_id, rejected=True)
             self._start_ready(state)
 
     async def wait(self, context: RequestContext, state: ServiceState) -> str | None:
-        """Queue a request; return its ticket when its turn has come."""
+        """Queue a request; return its ticket once it may start, None if rejected."""
         self._sequence += 1
         ticket = str(self._sequence)
-        waiting = self._make_entry(context, ticket)
-        admitted = state.queue.offer(waiting, waiting.arrived, self._rng.random())
-        if not admitted.admitted:
+        entry = self._make_entry(context, ticket)
+        decision = state.queue.offer(entry, entry.arrived, self._rng.random())
+        if not decision.admitted:
             await self._error_responses.reject(
-                context, "overloaded", admitted.retry_after_s
+                context, "overloaded", decision.retry_after_s
             )
             return None
-        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._pending[ticket] = turn
+        future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self._pending[ticket] = future
         self._start_ready(state)
         try:
-            await turn
+            await future
         except asyncio.CancelledError:
-            self._withdraw(ticket, turn, state)
+            self._withdraw(ticket, future, state)
             raise
         except TimeoutError:
             await self._error_responses.reject(
@@ -83,7 +83,7 @@
         return ticket
 
     def finish(self, ticket: str, context: RequestContext, state: ServiceState) -> None:
-        """Give a place back and start who is next."""
+        """Release a request's place and start the next request."""
         state.queue.finish(ticket, context.work_ms, now())
         self._start_ready(state)
 
@@ -101,10 +101,10 @@
         )
 
     def _withdraw(
-        self, ticket: str, turn: asyncio.Future[None], state: ServiceState
+        self, ticket: str, future: asyncio.Future[None], state: ServiceState
     ) -> None:
-        if turn.done() and not turn.cancelled():
-            # Its turn came in the moment in which its caller left.
+        if future.done() and not future.cancelled():
+            # The request was started just as its caller disconnected.
             state.queue.finish(ticket, 0, now())
             self._start_ready(state)
             return
@@ -112,14 +112,14 @@
         state.queue.remove(ticket)
 
     def _start_ready(self, state: ServiceState) -> None:
-        while (waiting := state.queue.pop(now())) is not None:
-            self._resolve(waiting.request_id, rejected=False)
+        while (entry := state.queue.pop(now())) is not None:
+            self._resolve(entry.request_id, rejected=False)
 
     def _resolve(self, ticket: str, *, rejected: bool) -> None:
-        turn = self._pending.pop(ticket, None)
-        if turn is None or turn.done():
+        future = self._pending.pop(ticket, None)
+        if future is None or future.done():
             return
         if rejected:
-            turn.set_exception(TimeoutError())
+            future.set_exception(TimeoutError())
         else:
-            turn.set_result(None)
+            future.set_result(None)
--- a/src/baobabthread/instance/services.py
+++ b/src/baobabthread/instance/services.py
@@ -1,4 +1,4 @@
-"""What is decided for each service: its queue, its budget of repeats, its versions."""
+"""State of each service: its queue, its retry budget and its version plan."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from baobabthread.routing.versions import VersionPlan
 
 CRASH_CALL = "crashes"
-"""Stands for a route where a backend server crashed instead of answering."""
+"""Name of the call under which crashes of backend servers are counted."""
 
 
 class ServiceState:
-    """Hold what is decided for one service."""
+    """State of one service."""
 
     __slots__ = ("budget", "name", "plan", "queue")
 
@@ -29,12 +29,12 @@
         self.budget = RetryBudget(bounds=bounds, members=members)
 
     def spend_retry(self) -> bool:
-        """Take a repeat out of the budget; return whether there was one."""
+        """Spend a retry of the budget; return whether one was available."""
         return self.budget.try_spend(now())
 
 
 class Services:
-    """Keep the state of each service and divide what instances share."""
+    """State of all services, with capacity and retries divided among instances."""
 
     __slots__ = (
         "_backends",
@@ -72,14 +72,14 @@
         return state
 
     def is_canary(self, service: str, version: str) -> bool:
-        """Tell whether a version is on trial, or failed its trial."""
+        """Return whether a version is a canary or has failed as one."""
         return self.get(service).plan.is_unproven(version)
 
     def record_crash(self, service: str, version: str) -> None:
-        """Hold a crash against a version on trial, as one bad answer.
+        """Count a crash of a canary version as one failed response.
 
-        A version that crashes under everything answers nothing: judged by answers alone
-        it passes its trial, gets all requests, and the old version is stopped.
+        A version that crashes on every request returns no responses. If it were
+        evaluated by responses alone, it would be promoted and the old version stopped.
         """
         plan = self.get(service).plan
         if plan.order is None or plan.order.target != version or not plan.is_running:
@@ -93,7 +93,7 @@
         )
 
     def set_instance_count(self, count: int) -> None:
-        """Divide capacity and the fixed part of repeats among so many instances."""
+        """Divide capacity and the fixed part of retries among `count` instances."""
         self._instance_count = max(1, count)
         self._members.record(self._instance_count)
         for state in self:
--- a/src/baobabthread/instance/tasks.py
+++ b/src/baobabthread/instance/tasks.py
@@ -1,4 +1,4 @@
-"""Work that runs beside the requests until it is cancelled."""
+"""Background tasks that run until they are cancelled."""
 
 from __future__ import annotations
 
@@ -10,26 +10,27 @@
 from baobabthread.logs import log_event
 
 RESTART_DELAY_S = 0.1
-"""Pause before work that failed goes on: long enough that a fault in each step can't
-take the whole processor, short beside the time after which peers call a member dead."""
+"""Delay before failed work is restarted: long enough that an error in each step can't
+occupy the processor, and short compared with the time after which peers declare a
+member dead."""
 
 Work = Callable[[], Coroutine[Any, Any, None]]
-"""Work that goes on until it is cancelled."""
+"""Create the coroutine of a task that runs until it is cancelled."""
 
 
 def start_task(stack: AsyncExitStack, work: Coroutine[Any, Any, None]) -> None:
-    """Run work that the stack cancels; tell how it ended."""
+    """Start a task that the stack cancels; log an exception that ends it."""
     task = asyncio.ensure_future(work)
     task.add_done_callback(_log_failure)
     stack.callback(task.cancel)
 
 
 async def keep_running(work: Work) -> None:
-    """Run work until it is cancelled, also when one of its steps fails.
+    """Run work until it is cancelled, restarting it after an exception.
 
-    A fault in one step would otherwise end the probes or the reading of the store for
-    good in a process that goes on to serve: it keeps addresses of instances that are
-    gone and a share of the retry budget for members that it never meets.
+    An exception in one step would otherwise end the probes or the reads of the store in
+    a process that continues to serve: it would keep listing failed instances and keep
+    dividing the retry budget by an outdated number of members.
     """
     while True:
         try:
--- a/tests/instance/test_events.py
+++ b/tests/instance/test_events.py
@@ -1,4 +1,4 @@
-"""Tests of cutting a stream into whole events."""
+"""Tests of splitting a stream into complete events."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 20, 1000])
-def test_pass_on_whole_events_only(size: int) -> None:
-    cutter = EventSplitter()
-    passed = b""
+def test_forward_complete_events_only(size: int) -> None:
+    splitter = EventSplitter()
+    forwarded = b""
     for start in range(0, len(STREAM), size):
-        found = cutter.feed(STREAM[start : start + size]).data
-        assert found == b"" or found.endswith(b"\n\n")
-        passed += found
-    assert passed == STREAM
-    assert cutter.is_drained
+        events = splitter.feed(STREAM[start : start + size]).data
+        assert events == b"" or events.endswith(b"\n\n")
+        forwarded += events
+    assert forwarded == STREAM
+    assert splitter.is_drained
 
 
-def test_hold_back_the_beginning_of_an_event() -> None:
-    cutter = EventSplitter()
-    found = cutter.feed(STREAM[:30])
-    assert (found.data, found.last_id) == (STREAM[:21], "1")
-    assert not cutter.is_drained
+def test_buffer_an_incomplete_event() -> None:
+    splitter = EventSplitter()
+    events = splitter.feed(STREAM[:30])
+    assert (events.data, events.last_id) == (STREAM[:21], "1")
+    assert not splitter.is_drained
 
 
-def test_drop_what_the_caller_already_has() -> None:
-    """Another engine begins the stream anew instead of behind the last event."""
-    cutter = EventSplitter(last_forwarded_id="3")
-    found = cutter.feed(STREAM)
-    assert found.data.startswith(b"id: 4\n")
-    assert found.last_id == "5"
+def test_drop_events_that_the_caller_already_has() -> None:
+    """Another engine restarts the stream instead of resuming after the last event."""
+    splitter = EventSplitter(last_forwarded_id="3")
+    events = splitter.feed(STREAM)
+    assert events.data.startswith(b"id: 4\n")
+    assert events.last_id == "5"
 
 
-def test_take_lines_that_end_in_either_way() -> None:
-    cutter = EventSplitter()
-    found = cutter.feed(b"x-weight-versions: 2\r\nid: 7\r\ndata: a\r\n\r\n")
-    assert found.last_id == "7"
+def test_accept_both_line_endings() -> None:
+    splitter = EventSplitter()
+    events = splitter.feed(b"x-weight-versions: 2\r\nid: 7\r\ndata: a\r\n\r\n")
+    assert events.last_id == "7"
--- a/tests/instance/test_quarantinerecords.py
+++ b/tests/instance/test_quarantinerecords.py
@@ -1,4 +1,4 @@
-"""Tests of what is stored of held requests, against a store in memory."""
+"""Tests of the quarantine records, against a store in memory."""
 
 from __future__ import annotations
 
@@ -20,50 +20,53 @@
 KEY = f"{HELD_PREFIX}f1"
 
 
-class Reader:
-    """Stand for a relay whose instance reads the store."""
+class ReaderSync:
+    """Replica synchronization of an instance that reads the store."""
 
     is_reader = True
 
 
 def make_records(store: Any) -> tuple[QuarantineRecords, QuarantineCoordinator]:
-    desk = QuarantineCoordinator(me="a", send=lambda to, word: None)
-    relay: Any = Reader()
+    coordinator = QuarantineCoordinator(me="a", send=lambda to, message: None)
+    replica_sync: Any = ReaderSync()
     return QuarantineRecords(
-        coordinator=desk, replica_sync=relay, store=store, formats=Formats()
-    ), desk
+        coordinator=coordinator,
+        replica_sync=replica_sync,
+        store=store,
+        formats=Formats(),
+    ), coordinator
 
 
-def hold(desk: QuarantineCoordinator) -> None:
-    desk.quarantine.add("f1", "s", (), now())
-    desk.unwritten["f1"] = now()
+def quarantine_request(coordinator: QuarantineCoordinator) -> None:
+    coordinator.quarantine.add("f1", "s", (), now())
+    coordinator.unwritten["f1"] = now()
 
 
 def list_stored(store: MemoryStore) -> list[tuple[str, bool]]:
-    """Return the keys of all records, and whether each has a value."""
+    """Return the key of each record, and whether it has a value."""
     records = store.topics.get(Formats.status_topic, [])
     return [(record.key, bool(record.value)) for record in records]
 
 
-def test_store_what_is_held_once() -> None:
+def test_store_an_entry_once() -> None:
     async def case() -> None:
         store = MemoryStore()
-        records, desk = make_records(store)
-        hold(desk)
+        records, coordinator = make_records(store)
+        quarantine_request(coordinator)
         await records._step()
-        assert not desk.unwritten
-        desk.unwritten["f1"] = now()
+        assert not coordinator.unwritten
+        coordinator.unwritten["f1"] = now()
         await records._step()
         assert list_stored(store) == [(KEY, True)]
 
     run_virtually(case())
 
 
-def test_learn_what_is_stored_at_a_start() -> None:
+def test_load_stored_entries_at_a_start() -> None:
     async def case() -> None:
         store = MemoryStore()
-        records, desk = make_records(store)
-        hold(desk)
+        records, coordinator = make_records(store)
+        quarantine_request(coordinator)
         await records._step()
         again, other = make_records(store)
         await again._step()
@@ -73,13 +76,13 @@
     run_virtually(case())
 
 
-def test_store_that_a_request_was_let_go() -> None:
+def test_store_a_release() -> None:
     async def case() -> None:
         store = MemoryStore()
-        records, desk = make_records(store)
-        hold(desk)
+        records, coordinator = make_records(store)
+        quarantine_request(coordinator)
         await records._step()
-        desk.release("f1")
+        coordinator.release("f1")
         await records._step()
         again, other = make_records(store)
         await again._step()
@@ -89,55 +92,57 @@
     run_virtually(case())
 
 
-def test_remove_what_is_long_over() -> None:
+def test_remove_an_expired_entry() -> None:
     async def case() -> None:
         store = MemoryStore()
-        records, desk = make_records(store)
-        hold(desk)
+        records, coordinator = make_records(store)
+        quarantine_request(coordinator)
         await records._step()
-        assert desk.quarantine.expire(now() + QUARANTINE_S + RELAPSE_WINDOW_S + 1.0)
-        # What the store still names as held must not come back by reading it.
+        assert coordinator.quarantine.expire(
+            now() + QUARANTINE_S + RELAPSE_WINDOW_S + 1.0
+        )
+        # Reading the store must not restore the expired entry.
         old = QuarantineEntry(
             fingerprint="f1", service="s", times=1, left_s=-RELAPSE_WINDOW_S
         )
         store.write(Formats.status_topic, KEY, old)
-        desk.unwritten["f1"] = now()
+        coordinator.unwritten["f1"] = now()
         await records._step()
         assert list_stored(store)[-1] == (KEY, False)
-        assert not desk.unwritten
+        assert not coordinator.unwritten
 
     run_virtually(case())
 
 
 class RacedStore(MemoryStore):
-    """Let another instance write just before the first append arrives."""
+    """A store in which another instance writes just before the first append."""
 
     def __init__(self) -> None:
         super().__init__()
         self.races = 1
 
     async def append(self, append: Append, timeout_s: float) -> Any:
-        """Append behind another instance's record the first time."""
+        """Append, the first time after another instance's record."""
         if self.races:
             self.races -= 1
             self.write(Formats.status_topic, "rollout", None)
         return await super().append(append, timeout_s)
 
 
-def test_write_again_where_another_instance_wrote_meanwhile() -> None:
-    """The leader of a roll-out writes its state between this one's read and write.
+def test_write_again_after_a_conflict() -> None:
+    """The leader of a roll-out writes a status between this instance's read and write.
 
-    Taken for written, the entry would be lost with the instances.
+    If the entry counted as written, it would be lost when all instances stop.
     """
 
     async def case() -> None:
         store = RacedStore()
-        records, desk = make_records(store)
-        hold(desk)
+        records, coordinator = make_records(store)
+        quarantine_request(coordinator)
         await records._step()
-        assert desk.unwritten
+        assert coordinator.unwritten
         await records._step()
-        assert not desk.unwritten
+        assert not coordinator.unwritten
         assert list_stored(store) == [("rollout", False), (KEY, True)]
 
     run_virtually(case())
