--- a/src/baobabthread/instance/peers.py
+++ b/src/baobabthread/instance/peers.py
@@ -81,8 +81,8 @@
 MIN_FETCH_INTERVAL_S = 0.3
 """Shortest time between two fetches when the store fails."""
 STALE_FRACTION = 0.8
-"""Fraction of the largest permitted age from which a peer's snapshot is fetched: the
-store has not responded for longer than one read takes by then."""
+"""Fraction of the largest permitted age at which a peer's snapshot is fetched; by then
+the store has not responded for longer than one read takes."""
 MAX_SNAPSHOT_BYTES = 32_000_000
 MEMBERSHIP_SETTINGS = MembershipSettings(
     small_period_s=0.2,
--- a/tests/instance/test_replicasync.py
+++ b/tests/instance/test_replicasync.py
@@ -201,9 +201,9 @@
     assert wait_without_replies(clock, standbys[0]) < 1.0
     member = others[0]
     assert 1.5 <= wait_without_replies(clock, member) < 1.75
-    asked = {to for to, _ in member.sent}
+    queried = {to for to, _ in member.sent}
     reader, standbys, _ = find_roles(6)
-    assert {reader.sync._me, *(s.sync._me for s in standbys)} <= asked
+    assert {reader.sync._me, *(s.sync._me for s in standbys)} <= queried
 
 
 def test_stagger_reads_when_no_replica_is_fresh(clock: Clock) -> None:
@@ -370,12 +370,12 @@
     _, others = make_members()
     member = others[0]
     member.read(5, clock.time)
-    asked = set()
+    queried = set()
     for _ in range(120):
         clock.time += 0.05
         member.sync.tick()
         for to, query in member.sent:
-            asked.add(to)
+            queried.add(to)
             stale = ReplicaReply(
                 sequence=query.sequence,
                 operators_end=5,
@@ -386,4 +386,4 @@
             )
             member.sync.handle_reply(to, stale)
         member.sent.clear()
-    assert len(asked) == 5
+    assert len(queried) == 5
--- a/tests/instance/test_staleness.py
+++ b/tests/instance/test_staleness.py
@@ -62,9 +62,7 @@
     assert not pair.receiver.is_stale(OTHER)
 
 
-def test_repeat_reports_while_stale(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
+def test_repeat_reports_while_stale(monkeypatch: pytest.MonkeyPatch) -> None:
     pair = Pair(monkeypatch)
     pair.run(10.0, is_stale=True)
     assert len(pair.reports) == pytest.approx(10.0 / REPORT_INTERVAL_S, abs=1)
