--- a/src/baobabthread/instance/admission.py
+++ b/src/baobabthread/instance/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is taken at all, for whom, and with which model it begins."""
+"""Admission of requests: routing, authentication and the choice of the first model."""
 
 from __future__ import annotations
 
@@ -26,20 +26,22 @@
 from baobabthread.routing.table import RoutingTable
 
 START_TIMEOUT_S = 1.0
-"""Time that requests wait for an instance's first knowledge: reading the store takes a
-few hundredths of a second, asking a peer instead half a second."""
+"""Time that requests wait until a new instance has read the configuration: reading the
+store takes a few hundredths of a second, fetching from a peer half a second."""
 LOW_RETRY_BALANCE = 2.0
-"""Repeats left below which answers must be good at once: none could follow."""
+"""Remaining retries below which the first response must be good enough, as none may
+follow."""
 IDLE_COST = 0.05
-"""Price of engine time up to which the largest model is asked at once for that: it
-takes ten times the engine time, also for answers that don't need it."""
+"""Cost of engine time below which the largest model is used first when few retries
+remain: it takes ten times the engine time, even for requests that don't need it."""
 LOW_RETRY_FRACTION = 0.45
-"""The same as a part of the most that can be left: among many instances the budget of
-each is small, and asking the largest model every time would overload the engines."""
+"""Upper limit of `LOW_RETRY_BALANCE` as a fraction of the full budget. With many
+instances the budget of each is small, and always using the largest model would overload
+the engines."""
 
 
 class Rejection(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell how to turn a request away."""
+    """Status, kind and `Retry-After` of the response to a rejected request."""
 
     status: int
     kind: str
@@ -47,7 +49,7 @@
 
 
 class Admission:
-    """Find out what a request is, and whether this instance may take it."""
+    """Decide whether and how this instance processes a request."""
 
     __slots__ = (
         "_estimates",
@@ -77,18 +79,18 @@
         self._stop_plan: StopPlan | None = None
 
     def mark_ready(self) -> None:
-        """Note that the configuration and the backend servers are known."""
+        """Record that the configuration and the backend servers are known."""
         self._ready.set()
 
     def begin_stop(self, plan: StopPlan) -> None:
-        """Take only what will be answered in time from now on."""
+        """Admit only requests that will be answered before this instance stops."""
         self._stop_plan = plan
 
     async def wait_ready(self) -> None:
-        """Wait a little for the first knowledge after a start.
+        """Wait until configuration and backend servers are known, up to a time-out.
 
-        The first instance that is back after all were lost meets every caller within
-        its first tenth of a second; refused then, they have no other one to go to.
+        After a loss of all instances, the first one to return meets all callers within
+        a tenth of a second. Rejected, they have no other instance to try.
         """
         if self._ready.is_set():
             return
@@ -97,25 +99,25 @@
                 await self._ready.wait()
 
     def admit(self, request: CallerRequest, reply: Reply) -> RequestContext | Rejection:
-        """Return the request as it will be handled, or why it is turned away."""
+        """Return the context of an admitted request, or why it is rejected."""
         table = self._replica.table
         if table is None:
             return Rejection(
                 status=503, kind="not_configured", retry_after_s=RETRY_AFTER_S
             )
-        fresh = self._replica.is_fresh(now())
+        is_fresh = self._replica.is_fresh(now())
         route = table.match(request.host, request.path)
         if route is None:
-            # An instance that may be behind can't know that there is no such route.
-            if not fresh:
+            # An instance with stale state can't know that there is no such route.
+            if not is_fresh:
                 return Rejection(status=503, kind="stale", retry_after_s=RETRY_AFTER_S)
             return Rejection(status=404, kind="unknown_route")
-        account = self._authenticate(table, route, request, fresh)
+        account = self._authenticate(table, route, request, is_fresh)
         if isinstance(account, Rejection):
             return account
         if not route.targets:
             return Rejection(status=503, kind="no_service", retry_after_s=RETRY_AFTER_S)
-        flight = RequestContext(
+        context = RequestContext(
             request=request,
             reply=reply,
             route=route,
@@ -123,23 +125,23 @@
             service=self._choose_service(route),
             deadline=request.arrived_at + _timeout_s(route, request),
         )
-        budget = self._services.get(flight.service).budget
+        budget = self._services.get(context.service).budget
         budget.record_request(self._services.arrivals.estimate_arrival(now()))
-        self._choose_first_model(flight, budget)
-        if not self._can_finish(flight):
+        self._choose_first_model(context, budget)
+        if not self._can_finish(context):
             return Rejection(
                 status=503, kind="leaving", retry_after_s=RETRY_ELSEWHERE_AFTER_S
             )
-        return flight
+        return context
 
     def _authenticate(
-        self, table: RoutingTable, route: Route, request: CallerRequest, fresh: bool
+        self, table: RoutingTable, route: Route, request: CallerRequest, is_fresh: bool
     ) -> Account | Rejection | None:
         if route.public or not table.needs_keys:
             return None
-        if not fresh:
-            # The key may have been taken away: whoever can't read the operators' log
-            # must not run anything for it.
+        if not is_fresh:
+            # The key may have been revoked: an instance that can't read the operators'
+            # records must not run requests for it.
             return Rejection(status=503, kind="stale", retry_after_s=RETRY_AFTER_S)
         account = table.authenticate(request.envelope.key)
         return account or Rejection(status=401, kind="unknown_key")
@@ -152,38 +154,38 @@
             return route.targets[0].service
         return self._rng.choices(route.targets, weights)[0].service
 
-    def _choose_first_model(self, flight: RequestContext, budget: RetryBudget) -> None:
-        models = flight.route.models
-        if not models or flight.request.envelope.model != ANY_MODEL:
+    def _choose_first_model(self, context: RequestContext, budget: RetryBudget) -> None:
+        models = context.route.models
+        if not models or context.request.envelope.model != ANY_MODEL:
             return
-        moment = now()
-        low = max(
-            1.0, min(LOW_RETRY_BALANCE, LOW_RETRY_FRACTION * budget.limit(moment))
+        timestamp = now()
+        threshold = max(
+            1.0, min(LOW_RETRY_BALANCE, LOW_RETRY_FRACTION * budget.limit(timestamp))
         )
-        is_low = budget.remaining(moment) < low
+        is_low = budget.remaining(timestamp) < threshold
         if is_low and self._estimates.engine_time_cost < IDLE_COST:
-            flight.model = len(models) - 1
+            context.model = len(models) - 1
         else:
-            flight.model = self._models.choose_first(len(models))
+            context.model = self._models.choose_first(len(models))
 
-    def _can_finish(self, flight: RequestContext) -> bool:
-        """Tell whether an answer would be whole before this instance ends."""
+    def _can_finish(self, context: RequestContext) -> bool:
+        """Return whether a response would be complete before this instance stops."""
         plan = self._stop_plan
         if plan is None:
             return True
-        moment = now()
-        models = flight.route.models
-        largest = models[-1] if flight.model is not None else None
-        usual_s = self._estimates.total_s(flight, flight.model_name)
-        longest_s = self._estimates.max_total_s(flight, largest)
-        flight.admitted_at_stop = AdmittedAtStop(
-            until_end_ms=round((plan.takes_until - moment) * 1000),
+        timestamp = now()
+        models = context.route.models
+        largest = models[-1] if context.model is not None else None
+        usual_s = self._estimates.total_s(context, context.model_name)
+        longest_s = self._estimates.max_total_s(context, largest)
+        context.admitted_at_stop = AdmittedAtStop(
+            until_end_ms=round((plan.takes_until - timestamp) * 1000),
             usual_ms=round(usual_s * 1000),
             longest_ms=round(longest_s * 1000),
         )
-        return plan.can_finish(usual_s=usual_s, longest_s=longest_s, now=moment)
+        return plan.can_finish(usual_s=usual_s, longest_s=longest_s, now=timestamp)
 
 
 def _timeout_s(route: Route, request: CallerRequest) -> float:
-    own = request.envelope.time_left_s
-    return route.timeout_s if own is None else min(route.timeout_s, own)
+    requested_s = request.envelope.time_left_s
+    return route.timeout_s if requested_s is None else min(route.timeout_s, requested_s)
--- a/src/baobabthread/instance/backends.py
+++ b/src/baobabthread/instance/backends.py
@@ -1,4 +1,4 @@
-"""Connections to the backend servers, and which of them fell silent."""
+"""Connections to the backend servers and the choice among them."""
 
 from __future__ import annotations
 
@@ -32,25 +32,27 @@
 from baobabthread.routing.replica import StateReplica
 
 CONNECT_TIMEOUT_S = 0.4
-"""Longest time for a connection: a few milliseconds are usual, and a lost first packet
-is sent again after a second, which another backend server can do without."""
+"""Time-out for opening a connection, which usually takes a few milliseconds. A lost
+first packet is retransmitted only after a second; another backend server is tried
+before that."""
 OVERTAKING_RESPONSES = 4
-"""Answers to later requests after which an earlier one's answer counts as lost."""
+"""Responses to later requests after which an earlier response counts as lost."""
 SUSPECT_DURATION_S = 2.0
-"""Time for which a backend server that gave no sign of life gets no new work while
-others have room."""
+"""Time for which an unresponsive backend server gets no new requests while others have
+free capacity."""
 REPLACED_DURATION_S = 6.0
-"""Time for which a server whose address another one has gets no work: its record lapses
-after three heartbeats, some four seconds, and the list of them is read within two."""
+"""Time for which a server gets no requests after another one was found at its address:
+its record lapses after three heartbeats, about four seconds, and the list of records is
+read within two."""
 BALANCER = earliest.NAME
 NO_SLOWNESS_EJECTION = 1e6
-"""Slowness never ejects a server: under load the time of an answer says more of those
-before it than of the server, and ejecting the busy ones loads the others more. The
-balancer sends a slow one less."""
+"""Disables ejection for slowness. Under load, latency says more about the queue than
+about the server, and ejecting busy servers would load the others even more. The
+balancer already sends fewer requests to slow servers."""
 
 
 class BackendLink:
-    """Hold one backend server's record, connections and last sign of life."""
+    """One backend server: its record, its connections and its responsiveness."""
 
     __slots__ = (
         "_answered_sent_at",
@@ -67,11 +69,11 @@
     ) -> None:
         self.record = record
         self.record_cold = record_cold
-        """Take in a word of it that it is cold for so many seconds."""
+        """Called with the seconds for which the server says it will still be cold."""
         self.received_at = -1e9
         self.suspect_until = -1e9
         self.is_replaced = False
-        """Whether another server was met at its address."""
+        """Whether another server was found at its address."""
         self._answered_sent_at: deque[float] = deque(maxlen=OVERTAKING_RESPONSES)
         self.pool = ConnectionPool(
             address=record.address,
@@ -81,29 +83,29 @@
 
     @property
     def name(self) -> str:
-        """Give the name of this start of it."""
+        """The incarnation: one start of the server."""
         return self.record.incarnation
 
     def mark_suspect(self) -> None:
-        """Note that it gave no sign of life when it should have."""
+        """Mark the server as unresponsive for `SUSPECT_DURATION_S`."""
         self.suspect_until = now() + SUSPECT_DURATION_S
 
     def mark_replaced(self) -> None:
-        """Note that another server answers at its address.
+        """Record that another server answers at the address of this one.
 
-        A late record of a server that crashed names it as ready though its address
-        has another start by now, which refuses. Each request that goes there takes a
-        repeat out of the budget until the record lapses.
+        The record of a crashed server still lists it as ready when a new incarnation,
+        which rejects its requests, already uses the address. Until the record lapses,
+        each request sent there would use up a retry of the budget.
         """
         self.is_replaced = True
         self.suspect_until = now() + REPLACED_DURATION_S
 
     def record_response(self, sent_at: float) -> None:
-        """Note that a request that was sent then is answered."""
+        """Record the response to a request that was sent at a time."""
         self._answered_sent_at.append(sent_at)
 
     def was_overtaken(self, sent_at: float) -> bool:
-        """Tell whether only requests that were sent later were answered of late."""
+        """Return whether all recent responses belong to requests sent later."""
         answered = self._answered_sent_at
         return len(answered) == OVERTAKING_RESPONSES and min(answered) > sent_at
 
@@ -113,7 +115,7 @@
 
 
 class Backends:
-    """Choose among the backend servers that are known and reach them."""
+    """Choose among the known backend servers and hold their connections."""
 
     __slots__ = ("_applied_changes", "_links", "_replica", "_restrictions", "table")
 
@@ -136,14 +138,15 @@
         )
 
     def refresh(self) -> None:
-        """Take over the records that changed."""
+        """Apply changes of the records to links and balancer."""
         for name in self._restrictions.drop_warm(now()):
             self.table.begin_slowly(name, now())
         if self._applied_changes == self._replica.revision:
             return
         self._applied_changes = self._replica.revision
         self._restrictions.refresh(now())
-        # By incarnation: connections, load, delays and ejection belong to one start.
+        # Keyed by incarnation: connections, load, delays and ejection do not carry over
+        # to a restarted server.
         records = {r.incarnation: r for r in self._replica.backends.values()}
         for name in [name for name in self._links if name not in records]:
             self._links.pop(name).pool.close()
@@ -162,8 +165,8 @@
     def _record_cold(self, record: BackendRecord, left_s: float) -> None:
         if self._replica.record_warmup(record, left_s, now()):
             log_event("backend_cold", backend=record.id, left_s=round(left_s, 3))
-            # Failure: until the next tick it would get all that comes in a tenth of a
-            # second, more than a cold server bears in a whole one.
+            # Without a refresh it would get all requests until the next tick. Those of
+            # a tenth of a second are more than a cold server can take in a whole one.
             self.refresh()
 
     def _is_warm(self, record: BackendRecord) -> bool:
@@ -186,28 +189,28 @@
         loads: Mapping[str, Load],
         candidates: Collection[str],
     ) -> BackendLink | None:
-        """Return the backend server for an attempt, or nothing when none is left."""
-        moment = now()
+        """Return the backend server for an attempt, or None if none is available."""
+        timestamp = now()
         suspects = {
-            name for name, link in self._links.items() if moment < link.suspect_until
+            name for name, link in self._links.items() if timestamp < link.suspect_until
         }
-        barred = self._restrictions.list_restricted(allowed_regions, moment)
-        never = _Union(exclude, barred) if barred else exclude
-        for out in (_Union(never, suspects), never):
+        restricted = self._restrictions.list_restricted(allowed_regions, timestamp)
+        excluded = _Union(exclude, restricted) if restricted else exclude
+        for exclusions in (_Union(excluded, suspects), excluded):
             name = self.table.pick(
                 service=service,
                 version=version,
                 prefix_key=prefix_key,
-                exclude=out,
-                now=moment,
+                exclude=exclusions,
+                now=timestamp,
                 may_probe=may_probe,
                 shared_s=shared_s,
                 shared_tokens=shared_tokens,
                 loads=loads,
                 candidates=candidates,
             )
-            # The table returns an excluded one when it has nothing else.
-            if name is not None and name not in out:
+            # The table falls back to an excluded server when no other is left.
+            if name is not None and name not in exclusions:
                 return self._links.get(name)
         return None
 
@@ -220,46 +223,49 @@
         exclude: Container[str],
         allowed_regions: AllowedRegions,
     ) -> list[str]:
-        """Return the backend servers whose load is worth asking for."""
-        moment = now()
-        barred = self._restrictions.list_restricted(allowed_regions, moment)
+        """Return the backend servers whose load should be queried."""
+        timestamp = now()
+        restricted = self._restrictions.list_restricted(allowed_regions, timestamp)
         return self.table.list_candidates(
             service=service,
             version=version,
             prefix_key=prefix_key,
-            exclude=_Union(exclude, barred) if barred else exclude,
-            now=moment,
+            exclude=_Union(exclude, restricted) if restricted else exclude,
+            now=timestamp,
         )
 
     def explain_unavailable(self, service: str, allowed_regions: AllowedRegions) -> str:
-        """Return why no backend server is left for a request."""
+        """Return the reason why no backend server is available for a request."""
         return self._restrictions.explain_unavailable(service, allowed_regions)
 
     def versions(self, service: str) -> dict[str, int]:
-        """Return how many backend servers of a service run each version."""
+        """Return the number of a service's backend servers per version."""
         return self._count_versions(service, lambda record: not record.leaving)
 
     def usable_versions(self, service: str) -> dict[str, int]:
-        """Return the same of those that may get new work."""
+        """Return the number per version of servers that may get new requests."""
         return self._count_versions(service, self._is_usable)
 
     def warm_versions(self, service: str) -> dict[str, int]:
-        """Return the same without the servers that are cold."""
+        """Return the number per version of usable servers that are not cold."""
         return self._count_versions(service, self._is_warm)
 
     def _count_versions(
-        self, service: str, counts: Callable[[BackendRecord], bool]
+        self, service: str, is_counted: Callable[[BackendRecord], bool]
     ) -> dict[str, int]:
-        found: dict[str, int] = {}
+        numbers: dict[str, int] = {}
         for record in self._replica.backends.values():
-            if record.service == service and counts(record):
-                found[record.version] = found.get(record.version, 0) + 1
-        return found
+            if record.service == service and is_counted(record):
+                numbers[record.version] = numbers.get(record.version, 0) + 1
+        return numbers
 
     def list_non_canaries(
         self, service: str, version: str, canaries: int
     ) -> frozenset[str]:
-        """Return the usable servers of a version but for so many, the same anywhere."""
+        """Return the usable servers of a version except for its canaries.
+
+        All instances choose the same canaries.
+        """
         names = [
             record.incarnation
             for record in self._replica.backends.values()
@@ -270,22 +276,25 @@
         return frozenset(rank(f"{service}/{version}", names)[canaries:])
 
     def is_listed(self, link: BackendLink) -> bool:
-        """Tell whether a link's server still has its record."""
+        """Return whether a link's server still has a record."""
         return self._links.get(link.name) is link
 
     def capacity(self, service: str) -> int:
-        """Return how many requests the usable servers of a service run at once."""
+        """Return how many requests a service's usable servers can run concurrently."""
         return self.table.capacity(service, None, now())
 
     def occupy(self, link: BackendLink, *, work_ms: int, first_s: float) -> Occupancy:
-        """Count an attempt that starts; its first part takes so long by itself."""
+        """Record an attempt that starts.
+
+        `first_s` is the time to the first part of its response on an idle server.
+        """
         self._restrictions.record_sent(link.name, now())
         return Occupancy(
             table=self.table, name=link.name, work=work_ms, first_s=first_s
         )
 
     def prune(self) -> None:
-        """Close connections that were idle for too long."""
+        """Close connections that have been idle for too long."""
         for link in self._links.values():
             link.pool.prune()
 
@@ -295,12 +304,12 @@
             link.pool.close()
 
     def opened(self) -> int:
-        """Return how many connections were opened so far."""
+        """Return the number of connections opened so far."""
         return sum(link.pool.opened for link in self._links.values())
 
 
 class Occupancy:
-    """Hold what one attempt takes of a backend server until it ends."""
+    """The share of a backend server's capacity that one attempt occupies."""
 
     __slots__ = ("_first_s", "_has_begun", "_name", "_table", "_work")
 
@@ -316,12 +325,12 @@
         table.expect(name, first_s)
 
     def begin(self, latency_s: float) -> None:
-        """Note that the first part came after so long."""
+        """Record the latency of the first part of the response, in seconds."""
         delay_s = latency_s - self._first_s if self._first_s else None
         self._record_begin(delay_s)
 
     def end(self, outcome: Outcome, latency_s: float) -> None:
-        """Note how the attempt ended, and learn from it."""
+        """Record the outcome and the duration of the attempt."""
         if not self._has_begun:
             self._record_begin(None)
         self._table.finished(self._name, outcome, latency_s, self._work, now())
@@ -332,18 +341,18 @@
 
 
 class _Union:
-    __slots__ = ("_one", "_other")
+    __slots__ = ("_first", "_second")
 
-    def __init__(self, one: Container[str], other: Container[str]) -> None:
-        self._one = one
-        self._other = other
+    def __init__(self, first: Container[str], second: Container[str]) -> None:
+        self._first = first
+        self._second = second
 
     def __contains__(self, name: object) -> bool:
-        return name in self._one or name in self._other
+        return name in self._first or name in self._second
 
 
 def hash_prefix(part: str) -> int:
-    """Return the number by which a prompt's part is kept at one backend server."""
+    """Return the hash that assigns a prompt prefix to a backend server."""
     return xxhash.xxh3_64_intdigest(part.encode(errors="surrogatepass"))
 
 
--- a/src/baobabthread/instance/callers.py
+++ b/src/baobabthread/instance/callers.py
@@ -1,4 +1,4 @@
-"""The callers' listener: read whole requests, pass on answers."""
+"""HTTP server for callers: reads whole requests and sends responses."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 MAX_FIELD_BYTES = 65_536
 KEEP_ALIVE_TIMEOUT_S = 75.0
-"""How long an idle connection of a caller is kept: longer than operators let callers
-keep one, so that it is always the caller who ends it."""
+"""Idle time-out of callers' connections. It is longer than any time-out that operators
+configure for callers, so that always the caller closes the connection."""
 LINGER_TIMEOUT_S = 1.0
 
 HandleRequest = Callable[[CallerRequest, Reply], Awaitable[None]]
 
 
 class HttpReply:
-    """Answer one caller over HTTP."""
+    """Reply to one caller over HTTP."""
 
     __slots__ = ("_is_leaving", "_request", "response")
 
@@ -41,7 +41,7 @@
 
     @property
     def has_begun(self) -> bool:
-        """Tell whether the caller has the head of an answer."""
+        """Return whether the head of a response was sent to the caller."""
         return self.response is not None and self.response.prepared
 
     async def reject(
@@ -51,7 +51,7 @@
         retry_after_s: float | None,
         detail: str | None = None,
     ) -> None:
-        """Make an answer of this side's own."""
+        """Prepare an error response of the instance itself."""
         headers = CIMultiDict({"Content-Type": "application/problem+json"})
         if retry_after_s is not None:
             headers["Retry-After"] = f"{retry_after_s:.2f}"
@@ -63,43 +63,43 @@
     async def respond(
         self, status: int, headers: Sequence[tuple[str, str]], body: bytes
     ) -> None:
-        """Make a whole answer."""
+        """Prepare a whole response."""
         response = web.Response(status=status, headers=CIMultiDict(headers), body=body)
         self._close_if_leaving(response)
         self.response = response
 
     async def begin(self, status: int, headers: Sequence[tuple[str, str]]) -> None:
-        """Pass on the head of a stream."""
+        """Send the head of a stream."""
         response = web.StreamResponse(status=status, headers=CIMultiDict(headers))
         self._close_if_leaving(response)
         self.response = response
         await response.prepare(self._request)
 
     async def write(self, data: bytes) -> None:
-        """Pass on whole events."""
+        """Send whole events of a stream."""
         assert self.response is not None
         await self.response.write(data)
 
     async def finish(self) -> None:
-        """End a stream as complete."""
+        """Complete a stream."""
         assert self.response is not None
         await self.response.write_eof()
 
     def abort(self) -> None:
-        """Close the connection so that nothing looks complete."""
+        """Close the connection so that the response appears truncated."""
         transport = self._request.transport
         if transport is not None:
             transport.abort()
 
     def _close_if_leaving(self, response: web.StreamResponse) -> None:
-        # A caller that keeps its connection to an instance that stops would lose the
-        # request that it sends just before the end.
+        # A caller that reuses its connection to a stopping instance would lose a
+        # request that it sends just before the instance terminates.
         if self._is_leaving():
             response.force_close()
 
 
 class CallerServer:
-    """Turn HTTP requests into requests that can be decided on."""
+    """Convert HTTP requests and pass them to the handler."""
 
     __slots__ = ("_body_limit", "_handle", "_is_leaving", "_wire")
 
@@ -117,7 +117,7 @@
         self._body_limit = body_limit
 
     async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one HTTP request."""
+        """Handle one HTTP request."""
         reply = HttpReply(request=request, is_leaving=self._is_leaving)
         arrived_at = now()
         body = await self._read_body(request, reply)
@@ -165,7 +165,7 @@
 def create_server(
     serve: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]],
 ) -> web.Server:
-    """Return a server that stops handling a request when its caller leaves."""
+    """Return a server that cancels the handler when its caller disconnects."""
     loop = asyncio.get_running_loop()
 
     def make_request(
@@ -191,7 +191,7 @@
 
 
 async def listen(server: web.Server, address: str) -> asyncio.Server:
-    """Open a listener at an address of the form IP:PORT."""
+    """Listen at an address of the form IP:PORT."""
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     return await loop.create_server(server, host, int(port), backlog=512)
--- a/src/baobabthread/instance/connections.py
+++ b/src/baobabthread/instance/connections.py
@@ -1,7 +1,8 @@
-"""Kept connections to one address, and one request at a time on each.
+"""HTTP/1.1 connection pool for one address, without pipelining.
 
-The library parses; which connection may carry a request, and whether an answer is
-whole, is decided here, since a wrong guess doubles a request or mixes two answers.
+aiohttp parses the responses. This module decides which connection may carry a request
+and whether a response is complete, as a mistake would send a request twice or mix up
+two responses.
 """
 
 from __future__ import annotations
@@ -20,44 +21,44 @@
 from baobabthread.instance.clock import now
 
 MAX_FIELD_BYTES = 32_768
-"""Most bytes of one header field of an answer."""
+"""Limit of the status line and of each header field of a response."""
 READ_BUFFER_BYTES = 65_536
-"""Answer bytes that wait in memory before the sender is slowed down."""
+"""Response bytes buffered in memory before back-pressure is applied to the sender."""
 IDLE_TIMEOUT_S = 30.0
-"""How long a connection is kept idle where the other side names no time."""
+"""Idle time-out of connections to servers that state none."""
 PROBE_IDLE_TIMEOUT_S = 1.0
-"""How long a connection that was only made to look is kept for a request."""
+"""Idle time-out of a connection that was opened by a probe."""
 IDLE_MARGIN_S = 0.75
-"""How long before the other side's idle time-out a connection is given up: a request
-that crosses its close may or may not have run."""
+"""Margin before the server's idle time-out at which a connection is no longer used: a
+request that is sent while the server closes it may or may not have run."""
 _KEEP_ALIVE = re.compile(r"timeout=(\d+)")
 
 HeaderList: TypeAlias = Sequence[tuple[str, str]]
 
 
 class NotSentError(Exception):
-    """Report a request of which no byte left for the other side."""
+    """Raised if no byte of the request was sent."""
 
 
 class IncompleteResponseError(Exception):
-    """Report an answer that will not come whole; the request may have run."""
+    """Raised if a response is incomplete or invalid; the request may have run."""
 
 
 class ConnectionLostError(IncompleteResponseError):
-    """Report an answer whose connection ended before it: the other side may be gone."""
+    """Raised if the connection ended before the response; the server may be down."""
 
 
 class Listening(enum.Enum):
-    """Tell whether anybody takes connections at an address."""
+    """Whether a server accepts connections at an address."""
 
     YES = "yes"
     NO = "no"
     UNKNOWN = "unknown"
-    """It can't be reached."""
+    """The address can't be reached."""
 
 
 class Connection(ResponseHandler):
-    """Hold one connection and whether its answer broke off."""
+    """A connection that remembers whether it was reset."""
 
     def __init__(self, *, on_bytes: Callable[[], None]) -> None:
         super().__init__(asyncio.get_running_loop())
@@ -67,33 +68,33 @@
         self.request_count = 0
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser and note the sign of life."""
+        """Feed the parser and report that bytes were received."""
         self._on_bytes()
         super().data_received(data)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Note whether the connection ended in an error."""
-        # An answer without a length ends with its connection. The parser takes a reset
-        # for that end, and a part would pass for the whole.
+        """Record whether the connection ended with an error."""
+        # A response without a length ends with its connection. The parser doesn't tell
+        # a reset from that end, so a truncated response would pass for a whole one.
         self.was_reset = exc is not None
         super().connection_lost(exc)
 
     @property
     def is_usable(self) -> bool:
-        """Tell whether another request may be sent on it."""
-        # Bytes that came after a complete answer belong to no request; on a connection
-        # that has them the next answer would be somebody else's.
+        """Return whether another request may be sent on it."""
+        # Bytes received after a complete response belong to no request; they would be
+        # taken for the response to the next one.
         return self.is_connected() and not self.should_close and now() < self.idle_until
 
     @property
     def is_flushed(self) -> bool:
-        """Tell whether all bytes of the request were handed to the system."""
+        """Return whether the request was passed to the operating system completely."""
         transport = self.transport
         return transport is not None and transport.get_write_buffer_size() == 0
 
 
 class Response:
-    """Hold the head of an answer, and its body as it comes."""
+    """Status and headers of a response, and a body that is read incrementally."""
 
     __slots__ = ("_connection", "_message", "_payload", "_pool", "headers", "status")
 
@@ -114,13 +115,13 @@
 
     @property
     def raw_headers(self) -> Sequence[tuple[bytes, bytes]]:
-        """Give the header fields as they came."""
+        """The header fields as received."""
         return self._message.raw_headers
 
     async def read(self, limit: int) -> bytes:
         """Return the whole body.
 
-        Raises `BrokenError` where it breaks off or exceeds the limit in bytes.
+        Raises `IncompleteResponseError` if it is truncated or exceeds `limit` bytes.
         """
         chunks = []
         size = 0
@@ -128,33 +129,33 @@
             chunks.append(chunk)
             size += len(chunk)
             if size > limit:
-                raise IncompleteResponseError("answer too large")
+                raise IncompleteResponseError(f"response larger than {limit} bytes")
         return b"".join(chunks)
 
     async def read_chunk(self) -> bytes:
-        """Return the next bytes of the body; none at its end."""
+        """Return the next bytes of the body, or none at its end."""
         try:
             chunk = await self._payload.readany()
         except (aiohttp.ClientError, HttpProcessingError, OSError) as error:
-            raise ConnectionLostError(f"answer broke off: {error}") from error
+            raise ConnectionLostError(f"response truncated: {error}") from error
         if not chunk and self._connection.was_reset:
-            raise ConnectionLostError("answer without a length was reset")
+            raise ConnectionLostError("connection reset in a response without a length")
         return chunk
 
     def finish(self) -> None:
-        """Give the connection back after the whole body was read."""
-        stated = _KEEP_ALIVE.search(self.headers.get("Keep-Alive", ""))
+        """Release the connection after the whole body was read."""
+        match = _KEEP_ALIVE.search(self.headers.get("Keep-Alive", ""))
         self._pool.release(
-            self._connection, float(stated.group(1)) if stated else IDLE_TIMEOUT_S
+            self._connection, float(match.group(1)) if match else IDLE_TIMEOUT_S
         )
 
     def abort(self) -> None:
-        """Close the connection at once, so that the other side stops working."""
+        """Close the connection at once, so that the server stops processing."""
         self._pool.discard(self._connection)
 
 
 class ConnectionPool:
-    """Keep connections to one address, the last used first."""
+    """Pool of connections to one address, most recently used first."""
 
     __slots__ = ("_connect_s", "_host", "_idle", "_on_bytes", "_port", "open", "opened")
 
@@ -175,9 +176,9 @@
         self.opened = 0
 
     async def send(self, head: bytes, body: bytes) -> Connection:
-        """Send a request.
+        """Send a request and return its connection.
 
-        Raises `NotSentError` where no connection could be made.
+        Raises `NotSentError` if no connection could be established.
         """
         connection = self._take_idle()
         if connection is None:
@@ -198,23 +199,23 @@
         return connection
 
     async def receive(self, connection: Connection) -> Response:
-        """Return the head of the answer.
+        """Return the response once its head is received.
 
-        Raises `BrokenError` where none comes.
+        Raises `ConnectionLostError` if the connection ends before.
         """
         try:
             message, payload = await connection.read()
         except (aiohttp.ClientError, HttpProcessingError, OSError) as error:
             self.discard(connection)
             raise ConnectionLostError(
-                f"no answer: {error or type(error).__name__}"
+                f"no response: {error or type(error).__name__}"
             ) from error
         return Response(
             message=message, payload=payload, connection=connection, pool=self
         )
 
     async def probe(self) -> Listening:
-        """Find out whether anybody takes connections; keep one that was made."""
+        """Check whether the server accepts connections; keep the one established."""
         try:
             connection = await self._connect()
         except NotSentError as error:
@@ -225,9 +226,9 @@
         return Listening.YES
 
     def release(self, connection: Connection, idle_s: float) -> None:
-        """Keep a connection whose answer was read to its end, if it may be kept."""
-        # A request that is still on its way out after its answer would put the rest of
-        # its body where the next request is due.
+        """Return a connection to the pool after its response was read, if possible."""
+        # Unsent bytes of a request that was answered early would be sent in front of
+        # the next request.
         if connection.should_close or not connection.is_flushed:
             self.discard(connection)
             return
@@ -242,13 +243,13 @@
             connection.abort()
 
     def close(self) -> None:
-        """Close what is idle; what is in use ends with its request."""
+        """Close idle connections; those in use are closed with their requests."""
         for connection in self._idle:
             connection.abort()
         self._idle.clear()
 
     def prune(self) -> None:
-        """Close idle connections that no request may use any more."""
+        """Close idle connections that can't be used any more."""
         for connection in [c for c in self._idle if not c.is_usable]:
             self.discard(connection)
 
@@ -278,7 +279,7 @@
 
 
 def encode_head(method: str, target: str, headers: HeaderList) -> bytes:
-    """Return the request line and the header fields as they go on the wire."""
+    """Encode the request line and the header fields."""
     lines = [f"{method} {target} HTTP/1.1"]
     lines.extend(f"{name}: {value}" for name, value in headers)
     return ("\r\n".join(lines) + "\r\n\r\n").encode("utf-8", "surrogateescape")
--- a/src/baobabthread/instance/context.py
+++ b/src/baobabthread/instance/context.py
@@ -1,4 +1,4 @@
-"""One caller's request while it is handled, and the port to its caller."""
+"""State of a request while it is processed, and the interface to its caller."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class Reply(Protocol):
-    """Answer one caller."""
+    """Reply to one caller."""
 
     @property
     def has_begun(self) -> bool:
-        """Tell whether the caller has the head of an answer."""
+        """Return whether the head of a response was sent to the caller."""
 
     async def reject(
         self,
@@ -30,32 +30,32 @@
         retry_after_s: float | None,
         detail: str | None = None,
     ) -> None:
-        """End with an answer of this side's own."""
+        """Send an error response of the instance itself."""
 
     async def respond(
         self, status: int, headers: Sequence[tuple[str, str]], body: bytes
     ) -> None:
-        """Pass on a whole answer."""
+        """Send a whole response."""
 
     async def begin(self, status: int, headers: Sequence[tuple[str, str]]) -> None:
-        """Pass on the head of a stream."""
+        """Send the head of a stream."""
 
     async def write(self, data: bytes) -> None:
-        """Pass on whole events."""
+        """Send whole events of a stream."""
 
     async def finish(self) -> None:
-        """End a stream as complete."""
+        """Complete a stream."""
 
     def abort(self) -> None:
-        """Close the connection so that nothing looks complete."""
+        """Close the connection so that the response appears truncated."""
 
 
 class CallerRequest(msgspec.Struct, kw_only=True):
-    """Hold a request as it was read."""
+    """A request as received from a caller."""
 
     method: str
     target: str
-    """Path and query as they came."""
+    """Path and query as received."""
     host: str
     headers: RawHeaders
     body: bytes
@@ -64,22 +64,22 @@
 
     @property
     def path(self) -> str:
-        """Give the path without the query."""
+        """The path without the query."""
         return self.target.partition("?")[0]
 
 
 class AdmittedAtStop(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold why a request was taken by an instance that was told to stop."""
+    """Why a stopping instance admitted a request; all times in milliseconds."""
 
     until_end_ms: int
     usual_ms: int
-    """Time that the answer was expected to take."""
+    """Expected time to a complete response."""
     longest_ms: int
-    """Time that it was expected to take at most."""
+    """Expected time to the longest possible response."""
 
 
 class RequestContext:
-    """Hold what was decided about a request so far."""
+    """A request and the decisions made about it so far."""
 
     __slots__ = (
         "_fingerprint",
@@ -136,64 +136,64 @@
         self.service = service
         self.deadline = deadline
         self.allowed_regions = find_allowed_regions(route, account)
-        """Areas that it must not leave; None where any will do."""
+        """Regions in which it must be served; None for any."""
         self.session = request.envelope.session or request.envelope.request_id
         self.is_sessionless = request.envelope.session is None
-        """Whether it belongs to no session, so that any version may answer it."""
+        """Whether it belongs to no session, so that any version may run it."""
         self.started_at = request.arrived_at
         self.attempts = 0
-        """Backend servers that it was offered to."""
+        """Number of backend servers tried."""
         self.runs = 0
-        """Attempts of which it isn't known that they did not run."""
+        """Number of attempts that may have run."""
         self.lost_connections = 0
-        """Attempts whose connection ended before the answer."""
+        """Number of attempts whose connection ended before the response."""
         self.excluded: set[str] = set()
         self.is_canary = False
-        """Whether the attempt goes to a version on trial."""
+        """Whether the attempt uses a canary version."""
         self.non_canaries: frozenset[str] = frozenset()
-        """Backend servers of a version on trial that take no part in it."""
+        """Backend servers that run a canary version but aren't canaries."""
         self.model: int | None = None
-        """Index of the model to ask; None where the caller or nobody chooses."""
+        """Index of the model to use; None if the caller chooses or none applies."""
         self.on_new_version: bool | None = None
-        """Whether it goes to the new version of a roll-out."""
+        """Whether it uses the new version of a roll-out; None if not decided yet."""
         self.exposure: ExposureBudget | None = None
-        """What its service's version on trial may get."""
+        """Exposure budget of its service's canary version."""
         self.has_reserved_exposure = False
-        """Whether an attempt at that version is taken out of it and not sent yet."""
+        """Whether an attempt that was not sent yet is reserved in the budget."""
         self.is_counted = False
-        """Whether it reached a backend server of its service."""
+        """Whether the exposure budget has counted it as a request."""
         self.version: str | None = None
-        """The version that must run it; None for any."""
+        """Version that must run it; None for any."""
         self.version_reason = VersionReason.NO_ROLLOUT
         self.kept_tokens: int | None = None
-        """Tokens of its prompt that the engine keeps; None where nobody knows."""
+        """Tokens of its prompt that the engine has cached; None if unknown."""
         self.may_use_new_version = True
-        """Whether it may go to the new version at all."""
+        """Whether it may use the new version at all."""
         self.session_on_new_version = False
-        """Whether its session is on the new version, by whoever decides on it."""
+        """Whether its session is on the new version, as the session's owner decided."""
         self.may_use_non_canaries = False
-        """Whether any server of a version on trial may take it."""
+        """Whether it may use any server of a canary version."""
         self.last_event = request.envelope.last_event
-        """The last event that the caller has."""
+        """Id of the last event sent to the caller."""
         self.confidence: float | None = None
-        """What the model of the last attempt says of its answer."""
+        """Confidence that the model of the last attempt states for its response."""
         self.head_s = 0.0
-        """Time until the caller got the head of an answer; 0 before it did."""
+        """Seconds until the caller got the head of a response; 0 before that."""
         self.admitted_at_stop: AdmittedAtStop | None = None
         self.work_ms = 1
         self.reason = ""
         self.timeline: list[str] = []
-        """Backend servers and how each attempt ended, for the log."""
+        """Backend server and result of each attempt, for the log."""
         self._fingerprint: str | None = None
 
     def release_exposure(self) -> None:
-        """Give back what an attempt that was not sent has taken."""
+        """Release the exposure reserved for an attempt that was not sent."""
         if self.has_reserved_exposure and self.exposure is not None:
             self.exposure.release()
         self.has_reserved_exposure = False
 
     def record_sent(self) -> None:
-        """Count an attempt that was sent."""
+        """Record that an attempt was sent."""
         self.runs += 1
         if self.exposure is None:
             return
@@ -207,12 +207,12 @@
 
     @property
     def model_name(self) -> str | None:
-        """Give the name of the model to ask."""
+        """Name of the model to use."""
         return None if self.model is None else self.route.models[self.model]
 
     @property
     def fingerprint(self) -> str:
-        """Give what it shares with other tries of the same request."""
+        """Fingerprint that it shares with retries of the same request."""
         if self._fingerprint is None:
             request = self.request
             self._fingerprint = fingerprint(
@@ -226,17 +226,17 @@
 
     @property
     def has_attempts_left(self) -> bool:
-        """Tell whether its route allows another run."""
+        """Return whether its route allows another attempt."""
         return self.runs < self.route.max_attempts
 
     @property
     def priority(self) -> int:
-        """Give the rank of the request, 0 first."""
+        """Priority of the request; 0 is the highest."""
         if self.account is not None and self.account.priority is not None:
             return self.account.priority
         return self.route.priority
 
     @property
     def prefix(self) -> str | None:
-        """Give the part of the prompt that should stay at one backend server."""
+        """Prompt prefix by which similar requests share a backend server."""
         return self.request.envelope.shared_part if self.route.has_prompts else None
--- a/src/baobabthread/instance/forwarder.py
+++ b/src/baobabthread/instance/forwarder.py
@@ -1,4 +1,4 @@
-"""The way of one request: admission, queue, attempts until one final answer."""
+"""Request processing: admission, queueing and attempts until the final response."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
 from baobabthread.routing.replica import StateReplica
 
 MAX_LOST_CONNECTIONS = 3
-"""Connections that may end under one request, where its route allows more tries: three
-servers that crashed are enough to tell that it is the cause."""
+"""Connections that may be lost during one request, even if its route allows more
+attempts: three crashed servers are enough to identify it as the cause."""
 FINAL_RESPONSE_TIMEOUT_S = 0.2
-"""Time in which the last answers of an instance that ends are sent."""
+"""Time to send the final responses when an instance terminates."""
 MAX_BACKENDS_TRIED = 6
-"""Backend servers that a request is offered to, those that refuse it included."""
+"""Backend servers that a request is sent to, including those that reject it."""
 
 
 class Forwarder:
-    """Take requests and see that each gets one final answer."""
+    """Process requests so that each gets exactly one final response."""
 
     def __init__(
         self,
@@ -112,24 +112,26 @@
         )
         self._idle: asyncio.Event | None = None
         self._is_shutting_down = False
-        """Whether what is in flight is cut as the process ends."""
+        """Whether requests in flight are being aborted."""
         self._running: set[asyncio.Task[object]] = set()
-        """Tasks of the requests in flight."""
+        """Tasks of requests in flight."""
 
     async def handle(self, request: CallerRequest, reply: Reply) -> None:
-        """Answer one request."""
+        """Process one request and reply to its caller."""
         task = asyncio.current_task()
         assert task is not None
         self._running.add(task)
         try:
             await self.admission.wait_ready()
-            found = self.admission.admit(request, reply)
-            if isinstance(found, Rejection):
-                self._log.record_rejection(request, found.kind, found.status)
-                await reply.reject(found.status, found.kind, found.retry_after_s)
+            admitted = self.admission.admit(request, reply)
+            if isinstance(admitted, Rejection):
+                self._log.record_rejection(request, admitted.kind, admitted.status)
+                await reply.reject(
+                    admitted.status, admitted.kind, admitted.retry_after_s
+                )
                 return
-            if not await self._reject_quarantined(found):
-                await self._serve(found)
+            if not await self._reject_quarantined(admitted):
+                await self._serve(admitted)
         finally:
             self._running.discard(task)
             if not self._running and self._idle is not None:
@@ -137,11 +139,11 @@
 
     @property
     def in_flight(self) -> int:
-        """Give how many requests are in hand."""
+        """Number of requests in flight."""
         return len(self._running)
 
     async def wait_idle(self, timeout_s: float) -> None:
-        """Wait until nothing is in flight, at most so long."""
+        """Wait until no request is in flight, or until the time-out in seconds."""
         if not self.in_flight:
             return
         self._idle = asyncio.Event()
@@ -150,121 +152,121 @@
                 await self._idle.wait()
 
     async def shut_down(self) -> None:
-        """End what is still in flight, each with an answer that says what is true."""
+        """Abort requests in flight; each response states whether the request ran."""
         self._is_shutting_down = True
         for task in list(self._running):
             task.cancel()
         await self.wait_idle(FINAL_RESPONSE_TIMEOUT_S)
 
-    async def _serve(self, flight: RequestContext) -> None:
+    async def _serve(self, context: RequestContext) -> None:
         try:
-            await self._queue_and_run(flight)
+            await self._queue_and_run(context)
         except asyncio.CancelledError:
             if not self._is_shutting_down:
-                self._log.record_caller_disconnect(flight)
+                self._log.record_caller_disconnect(context)
                 raise
             task = asyncio.current_task()
             assert task is not None
             task.uncancel()
-            await self._error_responses.abort_on_stop(flight)
+            await self._error_responses.abort_on_stop(context)
         except ConnectionError:
-            self._log.record_caller_disconnect(flight)
+            self._log.record_caller_disconnect(context)
             raise
         except Exception as error:
-            self._log.record_internal_error(flight, error)
+            self._log.record_internal_error(context, error)
             raise
 
-    async def _queue_and_run(self, flight: RequestContext) -> None:
-        state = self._services.get(flight.service)
-        ticket = await self.turns.wait(flight, state)
+    async def _queue_and_run(self, context: RequestContext) -> None:
+        state = self._services.get(context.service)
+        ticket = await self.turns.wait(context, state)
         if ticket is None:
             return
         try:
-            await self._run_attempts(flight, state)
+            await self._run_attempts(context, state)
         finally:
-            flight.release_exposure()
-            self.turns.finish(ticket, flight, state)
+            context.release_exposure()
+            self.turns.finish(ticket, context, state)
 
-    async def _reject_quarantined(self, flight: RequestContext) -> bool:
-        """End a request under which backend servers crash; tell whether it was one.
+    async def _reject_quarantined(self, context: RequestContext) -> bool:
+        """Reject a request that crashes backend servers; return whether it does.
 
-        Asked when it comes, before each attempt and after one that failed: it may be
-        held while it waits or runs, and each attempt more costs a server.
+        This is checked on arrival, before each attempt and after each failure: requests
+        may get quarantined while they wait or run, and every attempt costs a server.
         """
         if not self._quarantine.has_entries:
             return False
-        held = self._quarantine.find(flight.fingerprint)
-        if held is None:
+        entry = self._quarantine.find(context.fingerprint)
+        if entry is None:
             return False
-        await self._error_responses.reject_quarantined(flight, held)
+        await self._error_responses.reject_quarantined(context, entry)
         return True
 
-    async def _run_attempts(self, flight: RequestContext, state: ServiceState) -> None:
-        if not flight.is_sessionless and state.plan.needs_owner_decision(
-            flight.session, now()
+    async def _run_attempts(self, context: RequestContext, state: ServiceState) -> None:
+        if not context.is_sessionless and state.plan.needs_owner_decision(
+            context.session, now()
         ):
-            flight.session_on_new_version = await self._sessions.decide(
-                state.plan, flight.session
+            context.session_on_new_version = await self._sessions.decide(
+                state.plan, context.session
             )
         while True:
-            if flight.deadline - now() < MIN_TIME_LEFT_S:
-                await self._error_responses.time_out(flight)
+            if context.deadline - now() < MIN_TIME_LEFT_S:
+                await self._error_responses.time_out(context)
                 return
-            if await self._reject_quarantined(flight):
+            if await self._reject_quarantined(context):
                 return
-            link = await self.selection.select(flight, state.plan)
-            self._log.record_version_choice(flight, state.plan)
+            link = await self.selection.select(context, state.plan)
+            self._log.record_version_choice(context, state.plan)
             if link is None:
                 await self._error_responses.give_up(
-                    flight, self.selection.explain_unavailable(flight)
+                    context, self.selection.explain_unavailable(context)
                 )
                 return
             try:
-                await self._attempt(flight, state, link)
+                await self._attempt(context, state, link)
                 return
             except RetryRequested:
                 continue
 
     async def _attempt(
-        self, flight: RequestContext, state: ServiceState, link: BackendLink
+        self, context: RequestContext, state: ServiceState, link: BackendLink
     ) -> None:
-        """Try one backend server; raise `Again` when another one is to be tried."""
+        """Run one attempt; raise `RetryRequested` if another one is to follow."""
         attempt = Attempt(
-            context=flight,
+            context=context,
             link=link,
-            usual_first_s=self._estimates.first_s(flight),
-            event_timeout_s=self._estimates.event_timeout_s(flight),
-            may_give_up=lambda: self._may_give_up(flight, state, link),
+            usual_first_s=self._estimates.first_s(context),
+            event_timeout_s=self._estimates.event_timeout_s(context),
+            may_give_up=lambda: self._may_give_up(context, state, link),
         )
-        flight.work_ms = self._estimates.work_ms(flight)
+        context.work_ms = self._estimates.work_ms(context)
         occupancy = self._backends.occupy(
-            link, work_ms=flight.work_ms, first_s=self._estimates.reading_s(flight)
+            link, work_ms=context.work_ms, first_s=self._estimates.reading_s(context)
         )
-        prompt = self.selection.place(flight, link)
+        prompt = self.selection.place(context, link)
         reading_end = ReadingEnd.DROPPED
-        flight.attempts += 1
-        on_old = not flight.on_new_version
-        if on_old:
-            state.plan.record_old_started(flight.session, now())
-        self._report_session_use(flight, state)
-        presence = ActiveRequest(context=flight, abort=attempt.abort)
-        self._crashes.enter(presence, link)
+        context.attempts += 1
+        uses_old_version = not context.on_new_version
+        if uses_old_version:
+            state.plan.record_old_started(context.session, now())
+        self._report_session_use(context, state)
+        active_request = ActiveRequest(context=context, abort=attempt.abort)
+        self._crashes.enter(active_request, link)
         departure = Departure.CANCELLED
         outcome = Outcome.CANCELLED
-        trial = state.plan.analysis
-        ticket = self._start_observation(flight, state)
+        analysis = state.plan.analysis
+        ticket = self._start_observation(context, state)
         try:
             head = await attempt.open(self._wire)
-            trial.finish_attempt(ticket, failed=head.is_failure, now=now())
-            presence.record_begin()
+            analysis.finish_attempt(ticket, failed=head.is_failure, now=now())
+            active_request.record_begin()
             occupancy.begin(head.latency_s)
             if prompt is not None:
                 prompt.end(ReadingEnd.BEGUN)
-            await self._responses.handle(flight, state, attempt, head)
+            await self._responses.handle(context, state, attempt, head)
             outcome = Outcome.FAILED if head.is_failure else Outcome.OK
             departure = Departure.ANSWERED
-        except RetryRequested as again:
-            outcome = again.outcome
+        except RetryRequested as retry:
+            outcome = retry.outcome
             raise
         except (
             NotSentError,
@@ -275,97 +277,98 @@
             outcome = classify_outcome(error)
             departure = _find_departure(error)
             if isinstance(error, SilenceTimeoutError | TimeoutError):
-                trial.finish_attempt(ticket, failed=None, now=now())
+                analysis.finish_attempt(ticket, failed=None, now=now())
             if _is_unavailable(error):
                 reading_end = ReadingEnd.SILENT
-            flight.timeline.append(f"{link.record.id}:{str(error) or 'timeout'}")
+            context.timeline.append(f"{link.record.id}:{str(error) or 'timeout'}")
             attempt.abort()
-            # Told of at once: what follows may wait for a slow caller.
-            self._crashes.leave(presence, link, departure)
-            await self._retry_or_fail(flight, state, link, error)
+            # Reported first, as the following may wait for a slow caller.
+            self._crashes.leave(active_request, link, departure)
+            await self._retry_or_fail(context, state, link, error)
         finally:
             attempt.abort()
-            trial.cancel_attempt(ticket)
-            self._crashes.leave(presence, link, departure)
+            analysis.cancel_attempt(ticket)
+            self._crashes.leave(active_request, link, departure)
             occupancy.end(outcome, now() - attempt.sent_at)
             if prompt is not None:
                 prompt.end(reading_end)
-            if on_old:
-                state.plan.record_old_ended(flight.session, now())
-            self._report_session_use(flight, state)
+            if uses_old_version:
+                state.plan.record_old_ended(context.session, now())
+            self._report_session_use(context, state)
 
-    def _start_observation(self, flight: RequestContext, state: ServiceState) -> int:
-        """Note an attempt whose answer speaks for a version or against it.
+    def _start_observation(self, context: RequestContext, state: ServiceState) -> int:
+        """Record an attempt for the analysis of a canary version.
 
-        Without a trial it tells what answers of the version in force usually take.
+        Without a roll-out it contributes to the usual latency of the current version.
         """
         return state.plan.analysis.start_attempt(
             SentAttempt(
-                is_canary=bool(flight.on_new_version) and state.plan.is_running,
-                call=flight.route.name,
-                kind=f"{flight.route.name}/{flight.model_name}",
+                is_canary=bool(context.on_new_version) and state.plan.is_running,
+                call=context.route.name,
+                kind=f"{context.route.name}/{context.model_name}",
                 at=now(),
-                expected_s=self._estimates.unloaded_first_s(flight),
+                expected_s=self._estimates.unloaded_first_s(context),
             )
         )
 
-    def _report_session_use(self, flight: RequestContext, state: ServiceState) -> None:
-        """Tell who decides on its session which version a request is on."""
-        if flight.is_sessionless:
+    def _report_session_use(self, context: RequestContext, state: ServiceState) -> None:
+        """Report the version that a request uses to the owner of its session."""
+        if context.is_sessionless:
             return
-        if flight.on_new_version:
-            self._sessions.report_new(state.plan, flight.session)
+        if context.on_new_version:
+            self._sessions.report_new(state.plan, context.session)
         else:
-            self._sessions.report_old(state.plan, flight.session)
+            self._sessions.report_old(state.plan, context.session)
 
     async def _retry_or_fail(
         self,
-        flight: RequestContext,
+        context: RequestContext,
         state: ServiceState,
         link: BackendLink,
         error: Exception,
     ) -> None:
-        """Try again where that is safe and within the budget, otherwise fail."""
-        flight.excluded.add(link.name)
+        """Request a retry if that is safe and within the budget, otherwise fail."""
+        context.excluded.add(link.name)
         if isinstance(error, TimeoutError):
-            await self._error_responses.time_out(flight)
+            await self._error_responses.time_out(context)
             return
-        if await self._reject_quarantined(flight):
+        if await self._reject_quarantined(context):
             return
-        flight.lost_connections += isinstance(error, ConnectionLostError)
-        surely_not_run = isinstance(error, NotSentError | RejectedError)
-        may_repeat = flight.route.may_retry and flight.has_attempts_left
-        if not surely_not_run and not may_repeat:
-            await self._error_responses.give_up(flight, "backend_failed")
+        context.lost_connections += isinstance(error, ConnectionLostError)
+        certainly_not_run = isinstance(error, NotSentError | RejectedError)
+        may_retry = context.route.may_retry and context.has_attempts_left
+        if not certainly_not_run and not may_retry:
+            await self._error_responses.give_up(context, "backend_failed")
             return
-        if flight.attempts >= MAX_BACKENDS_TRIED:
-            await self._error_responses.give_up(flight, "backends_refused")
+        if context.attempts >= MAX_BACKENDS_TRIED:
+            await self._error_responses.give_up(context, "backends_refused")
             return
-        if flight.lost_connections >= MAX_LOST_CONNECTIONS:
-            await self._error_responses.give_up(flight, "connections_lost")
+        if context.lost_connections >= MAX_LOST_CONNECTIONS:
+            await self._error_responses.give_up(context, "connections_lost")
             return
-        # What never left for a backend server is no repeat.
-        is_paid = isinstance(error, NotSentError | SilenceTimeoutError)
-        if not is_paid and not state.spend_retry():
-            await self._error_responses.give_up(flight, "retry_budget")
+        # Retries of attempts that were never sent are free, and those of abandoned ones
+        # are already charged.
+        needs_no_charge = isinstance(error, NotSentError | SilenceTimeoutError)
+        if not needs_no_charge and not state.spend_retry():
+            await self._error_responses.give_up(context, "retry_budget")
             return
         raise RetryRequested(classify_outcome(error))
 
     def _may_give_up(
-        self, flight: RequestContext, state: ServiceState, link: BackendLink
+        self, context: RequestContext, state: ServiceState, link: BackendLink
     ) -> bool:
-        """Take a repeat for an attempt that is silent; without one it is waited for.
+        """Return whether a silent attempt may be abandoned; charge the retry budget.
 
-        Giving up without another try would turn a slow answer into none, and under load
-        every answer is slow.
+        Abandoning it without a retry would turn a slow response into none, and under
+        load every response is slow.
         """
-        if not flight.route.may_retry or not flight.has_attempts_left:
+        if not context.route.may_retry or not context.has_attempts_left:
             return False
         if Mechanism.ATTEMPT_TIMEOUT in self._disabled:
             return False
-        if flight.attempts >= MAX_BACKENDS_TRIED:
+        if context.attempts >= MAX_BACKENDS_TRIED:
             return False
-        return self.selection.has_alternative(flight, link) and state.spend_retry()
+        return self.selection.has_alternative(context, link) and state.spend_retry()
 
 
 def _find_departure(error: Exception) -> Departure:
@@ -377,7 +380,7 @@
 
 
 def _is_unavailable(error: Exception) -> bool:
-    """Tell whether an attempt's end says that its backend server isn't there."""
+    """Return whether an error shows that the backend server is unavailable."""
     if isinstance(error, RejectedError):
         return error.is_other_server
     return isinstance(error, SilenceTimeoutError)
--- a/src/baobabthread/instance/placement.py
+++ b/src/baobabthread/instance/placement.py
@@ -1,4 +1,8 @@
-"""Ask the keepers of engines what a prompt would meet, and tell them what is placed."""
+"""Load of engines, shared among instances.
+
+Rendezvous hashing assigns each engine to one instance, its owner. The other instances
+report the prompts that they place there and query the owner for the engine's load.
+"""
 
 from __future__ import annotations
 
@@ -18,16 +22,16 @@
 from baobabthread.instance.clock import now
 
 REPLY_TIMEOUT_S = 0.02
-"""Time for the answers of all keepers: several trips between failure domains. Whoever
-does not answer costs no more than this, a hundredth of the shortest objectives."""
+"""Time for the replies of all owners: several round trips between failure domains, and
+a hundredth of the shortest latency objectives. No silent owner costs more than this."""
 OWNER_BACKOFF_S = 1.0
-"""Time for which a keeper that did not answer isn't asked: it is paused or gone."""
+"""Time for which an owner that did not reply isn't queried: it is paused or down."""
 
 SendMessage = Callable[[str, msgspec.Struct], None]
 
 
 class LoadsRequest(msgspec.Struct, frozen=True, kw_only=True, tag="loads.ask"):
-    """Ask what a prompt would meet at some engines."""
+    """Request the load of engines, as a prompt with these parts would find it."""
 
     sequence: int
     engines: list[str]
@@ -35,21 +39,21 @@
 
 
 class LoadsReply(msgspec.Struct, frozen=True, kw_only=True, tag="loads.are"):
-    """Tell it, in the order of the question."""
+    """Return the loads, in the order of the engines in the request."""
 
     sequence: int
     loads: list[Load]
 
 
 class PromptPlaced(msgspec.Struct, frozen=True, kw_only=True, tag="loads.placed"):
-    """Tell a keeper of a prompt that was placed at its engine."""
+    """Report a prompt that was placed at an engine to its owner."""
 
     engine: str
     placed: Placed
 
 
 class PromptEnded(msgspec.Struct, frozen=True, kw_only=True, tag="loads.ended"):
-    """Tell a keeper that a placed prompt needs no more reading."""
+    """Report to an engine's owner that a prompt needs no more reading."""
 
     engine: str
     number: int
@@ -62,14 +66,14 @@
 class _Query:
     __slots__ = ("completed", "loads", "pending")
 
-    def __init__(self, answer: asyncio.Future[None]) -> None:
-        self.completed = answer
+    def __init__(self, completed: asyncio.Future[None]) -> None:
+        self.completed = completed
         self.pending: dict[int, tuple[str, list[str]]] = {}
         self.loads: dict[str, Load] = {}
 
 
 class Placement:
-    """Know the loads of engines through their keepers; this instance is one of them."""
+    """Query and report loads of engines, and keep those that this instance owns."""
 
     __slots__ = (
         "_backoff_until",
@@ -93,35 +97,37 @@
         self._backoff_until: dict[str, float] = {}
 
     def set_members(self, names: list[str]) -> None:
-        """Note which instances serve, this one included."""
+        """Set the instances that serve, including this one."""
         self._members = names or [self._me]
         self._owners.clear()
-        silent = self._backoff_until
-        self._backoff_until = {n: t for n, t in silent.items() if n in self._members}
+        backoff_until = self._backoff_until
+        self._backoff_until = {
+            n: t for n, t in backoff_until.items() if n in self._members
+        }
 
     def tick(self) -> None:
-        """Forget what is idle."""
+        """Drop engines that have become idle."""
         self._loads.forget_idle(now())
 
-    # -- asking --
+    # -- queries --
 
     async def query_loads(
         self, engines: Sequence[str], parts: tuple[Part, ...]
     ) -> Mapping[str, Load]:
-        """Return what a prompt would meet at engines, as far as keepers answer."""
-        by_keeper: dict[str, list[str]] = {}
+        """Return the loads of engines whose owners reply in time."""
+        by_owner: dict[str, list[str]] = {}
         for engine in engines:
-            by_keeper.setdefault(self._find_owner(engine), []).append(engine)
-        moment = now()
-        question = _Query(asyncio.get_running_loop().create_future())
-        for name in by_keeper.pop(self._me, []):
-            question.loads[name] = self._loads.describe(name, parts, moment)
-        for keeper, names in by_keeper.items():
-            if self._backoff_until.get(keeper, 0.0) <= moment:
-                self._send_request(question, keeper, names, parts)
-        if question.pending:
-            await self._await_replies(question)
-        return question.loads
+            by_owner.setdefault(self._find_owner(engine), []).append(engine)
+        timestamp = now()
+        query = _Query(asyncio.get_running_loop().create_future())
+        for name in by_owner.pop(self._me, []):
+            query.loads[name] = self._loads.describe(name, parts, timestamp)
+        for owner, names in by_owner.items():
+            if self._backoff_until.get(owner, 0.0) <= timestamp:
+                self._send_request(query, owner, names, parts)
+        if query.pending:
+            await self._await_replies(query)
+        return query.loads
 
     def _send_request(
         self,
@@ -142,24 +148,24 @@
             async with asyncio.timeout(REPLY_TIMEOUT_S):
                 await query.completed
         except TimeoutError:
-            for keeper, _ in query.pending.values():
-                self._backoff_until[keeper] = now() + OWNER_BACKOFF_S
+            for owner, _ in query.pending.values():
+                self._backoff_until[owner] = now() + OWNER_BACKOFF_S
         finally:
             for number in query.pending:
                 self._queries.pop(number, None)
 
     def handle_reply(self, reply: LoadsReply) -> None:
-        """Take in a keeper's answer."""
-        question = self._queries.pop(reply.sequence, None)
-        if question is None:
+        """Process an owner's reply."""
+        query = self._queries.pop(reply.sequence, None)
+        if query is None:
             return
-        keeper, engines = question.pending.pop(reply.sequence)
-        self._backoff_until.pop(keeper, None)
-        question.loads.update(zip(engines, reply.loads, strict=False))
-        if not question.pending and not question.completed.done():
-            question.completed.set_result(None)
+        owner, engines = query.pending.pop(reply.sequence)
+        self._backoff_until.pop(owner, None)
+        query.loads.update(zip(engines, reply.loads, strict=False))
+        if not query.pending and not query.completed.done():
+            query.completed.set_result(None)
 
-    # -- telling --
+    # -- reports --
 
     def place(
         self,
@@ -170,7 +176,10 @@
         parts: tuple[Part, ...],
         memory_tokens: int = 0,
     ) -> PlacedPrompt:
-        """Tell an engine's keeper that it is to read a prompt."""
+        """Report a prompt that an engine is about to read to the engine's owner.
+
+        Times are in seconds.
+        """
         self._sequence += 1
         placed = Placed(
             number=self._sequence,
@@ -179,51 +188,51 @@
             parts=parts,
             memory_tokens=memory_tokens,
         )
-        keeper = self._find_owner(engine)
-        if keeper == self._me:
+        owner = self._find_owner(engine)
+        if owner == self._me:
             self.handle_placed(self._me, PromptPlaced(engine=engine, placed=placed))
         else:
-            self._send(keeper, PromptPlaced(engine=engine, placed=placed))
+            self._send(owner, PromptPlaced(engine=engine, placed=placed))
         return PlacedPrompt(placement=self, engine=engine, number=placed.number)
 
     def report_ended(self, message: PromptEnded) -> None:
-        """Tell an engine's keeper that a placed prompt needs no more reading."""
-        keeper = self._find_owner(message.engine)
-        if keeper == self._me:
+        """Report to an engine's owner that a prompt needs no more reading."""
+        owner = self._find_owner(message.engine)
+        if owner == self._me:
             self.handle_ended(self._me, message)
         else:
-            self._send(keeper, message)
+            self._send(owner, message)
 
-    # -- keeping --
+    # -- owned engines --
 
     def handle_request(self, sender: str, request: LoadsRequest) -> None:
-        """Answer another instance."""
-        moment = now()
+        """Reply to a query of another instance."""
+        timestamp = now()
         loads = [
-            self._loads.describe(engine, request.parts, moment)
+            self._loads.describe(engine, request.parts, timestamp)
             for engine in request.engines
         ]
         self._send(sender, LoadsReply(sequence=request.sequence, loads=loads))
 
     def handle_placed(self, sender: str, message: PromptPlaced) -> None:
-        """Count a prompt that is placed at an engine kept here."""
+        """Add a prompt to the load of an owned engine."""
         self._loads.find(message.engine, now()).place(sender, message.placed, now())
 
     def handle_ended(self, sender: str, message: PromptEnded) -> None:
-        """Take a prompt off the load of an engine kept here."""
+        """Remove a prompt from the load of an owned engine."""
         self._loads.find(message.engine, now()).end(
             sender, message.number, message.end, now()
         )
 
     def _find_owner(self, engine: str) -> str:
-        keeper = self._owners.get(engine)
-        if keeper is None:
-            keeper = self._owners[engine] = rank(engine, self._members)[0]
-        return keeper
+        owner = self._owners.get(engine)
+        if owner is None:
+            owner = self._owners[engine] = rank(engine, self._members)[0]
+        return owner
 
 
 class PlacedPrompt:
-    """Hold what a keeper was told of one prompt until its reading ends."""
+    """A prompt that was reported to an engine's owner and whose reading may go on."""
 
     __slots__ = ("_engine", "_is_open", "_number", "_placement")
 
@@ -234,7 +243,7 @@
         self._is_open = True
 
     def end(self, end: ReadingEnd) -> None:
-        """Tell how its reading ended; nothing more once that was told."""
+        """Report how its reading ended; later calls have no effect."""
         if not self._is_open:
             return
         self._is_open = False
--- a/src/baobabthread/instance/quarantine.py
+++ b/src/baobabthread/instance/quarantine.py
@@ -1,10 +1,10 @@
-"""Agreement of all instances on the requests that are held back.
+"""Shared quarantine of requests that crash backend servers.
 
-Whoever sees a crash tells the few instances that judge the service's crashes; what the
-first of them concludes goes to all, and is written to the store by the one that holds
-it first. After that neighbours compare their lists once a second, so that an instance
-that started, or was cut off, knows within some three seconds. Where nothing is held and
-nothing crashes, nothing is sent.
+An instance that detects a crash reports it to the few instances that own the service's
+crashes. The first owner to reach a conclusion publishes it to all instances and writes
+it to the store. Neighbours then compare their lists once a second, so that an instance
+that has just started, or was partitioned, is up to date within about three seconds.
+Nothing is sent while no request is quarantined and no server crashes.
 """
 
 from __future__ import annotations
@@ -21,43 +21,43 @@
 from baobabthread.routing.quarantine import FindVersions, Quarantine, QuarantineEntry
 
 OWNER_COUNT = 3
-"""Instances that are told of a service's crashes. Where the only one stands still or is
-lost as well, the request crashes the next servers; two stand in for it."""
+"""Instances that receive a service's crashes: one owner and two standbys. With a single
+owner that is stalled or lost, the request would go on to crash more servers."""
 OWNER_STAGGER_S = 0.15
-"""Time by which each judge waits longer than the one before it."""
+"""Additional delay before each further owner evaluates crashes."""
 PUBLISH_ATTEMPTS = 3
 PUBLISH_INTERVAL_S = 0.15
-"""How often, and how far apart, an entry is told to all: datagrams get lost."""
+"""How often, and at which interval, an entry is sent to all: datagrams may get lost."""
 COMPARE_INTERVAL_S = 1.0
 NEIGHBOUR_COUNT = 2
-"""How often lists are compared, and with how many: 80 bytes a second for each one."""
+"""Interval and number of neighbours of list comparisons: 80 bytes/s per neighbour."""
 QUERY_INTERVAL_S = 0.2
-"""Time between two questions of an instance that has just started."""
+"""Interval between queries of an instance that has just started."""
 PEER_LIST_TIMEOUT_S = 2.5
-"""Time after its start in which it hears the list from a peer; then it reads the store
-itself. All of two hundred would otherwise read it at a start of all."""
+"""Time after the start to wait for a peer's list before reading the store. Without it,
+a simultaneous start of two hundred instances would make all of them read the store."""
 WRITE_STAGGER_S = 2.0
-"""Time by which each judge waits longer than the one before it to write an entry."""
+"""Additional delay before each further owner writes an entry to the store."""
 
 
 class QuarantineDigest(
     msgspec.Struct, frozen=True, kw_only=True, tag="quarantine.compare"
 ):
-    """Tell what the sender's list is, for one that has another one to answer."""
+    """Announce the digest of the sender's list; peers with another list reply."""
 
     digest: int
     asks: bool = False
-    """Whether the sender has just started and needs an answer in any case."""
+    """Whether the sender has just started and needs a reply in any case."""
 
 
 class QuarantineEntries(
     msgspec.Struct, frozen=True, kw_only=True, tag="quarantine.are"
 ):
-    """Tell entries, all of them or the newest."""
+    """Carry the complete list of the sender, or only entries that changed."""
 
     entries: list[QuarantineEntry]
     is_complete: bool = False
-    """Whether these are all that the sender knows and it was told what is stored."""
+    """Whether these are all entries of a sender whose list includes the stored ones."""
     wants_reply: bool = False
 
 
@@ -73,7 +73,7 @@
 
 
 class QuarantineCoordinator:
-    """Judge crashes, tell what is held, and hear it from others."""
+    """Evaluate crashes and keep the quarantine consistent among instances."""
 
     def __init__(self, *, me: str, send: SendMessage) -> None:
         self._me = me
@@ -82,46 +82,46 @@
         self._members: list[str] = [me]
         self._neighbours: list[str] = []
         self._owners: dict[str, list[str]] = {}
-        self._ledger = CrashAnalysis(find_delay=self._find_delay)
+        self._analysis = CrashAnalysis(find_delay=self._find_delay)
         self._publications: dict[str, _Publication] = {}
         self._compared_at = -1e9
         self._queried_at = -1e9
         self._started_at = now()
         self.quarantine = Quarantine()
         self.unwritten: dict[str, float] = {}
-        """Entries that the store may lack, and when this instance writes them."""
+        """Fingerprints of entries that the store may lack, and when to write them."""
         self.has_complete_list = False
-        """Whether it was told what is stored, by the store or by a peer that was."""
+        """Whether the stored entries are known, from the store or an informed peer."""
         self.is_canary: IsCanary = lambda service, version: False
         self.find_versions: FindVersions = lambda service: ()
         self.was_answered: Callable[[str], bool] = lambda fingerprint: False
         self.on_unproven_crash: Callable[[str, str], None] = lambda service, version: (
             None
         )
-        """Take in that a version which answered nobody of late crashed."""
+        """Called with the service and the unproven version of a server that crashed."""
         self.on_quarantined: Callable[[str], None] = lambda fingerprint: None
 
     def set_members(self, names: Sequence[str]) -> None:
-        """Note which instances serve, this one included."""
+        """Set the instances that serve, including this one."""
         self._members = list(names) or [self._me]
         self._owners.clear()
         ring = sorted({*self._members, self._me})
-        at = ring.index(self._me)
-        following = ring[at + 1 :] + ring[:at]
+        index = ring.index(self._me)
+        following = ring[index + 1 :] + ring[:index]
         self._neighbours = following[:NEIGHBOUR_COUNT]
 
     @property
     def has_entries(self) -> bool:
-        """Tell whether any request is held, or was of late."""
+        """Return whether any request is or was recently quarantined."""
         return len(self.quarantine) > 0
 
     def find(self, fingerprint: str) -> QuarantineEntry | None:
-        """Return how a request is held, if it is."""
+        """Return the entry of a request that is quarantined now."""
         return self.quarantine.find(fingerprint, self.find_versions, now())
 
     @property
     def must_read_store(self) -> bool:
-        """Tell whether no peer told in time what is stored."""
+        """Return whether no peer has sent the complete list in time."""
         return (
             not self.has_complete_list
             and now() - self._started_at > PEER_LIST_TIMEOUT_S
@@ -130,53 +130,56 @@
     # -- crashes --
 
     def report_crash(self, crash: Crash) -> None:
-        """Tell the judges of a crash that was seen here."""
+        """Send a crash detected by this instance to the owners."""
         for name in self._find_owners(crash.service):
             if name == self._me:
-                self._ledger.record(crash, now())
+                self._analysis.record(crash, now())
             else:
                 self._send(name, crash)
 
     def handle_crash(self, crash: Crash) -> None:
-        """Take in a crash that another instance saw."""
-        self._ledger.record(crash, now())
+        """Record a crash that another instance detected."""
+        self._analysis.record(crash, now())
         for fingerprint in (*crash.fresh, *crash.older):
             if self.was_answered(fingerprint):
-                self._ledger.clear(fingerprint)
+                self._analysis.clear(fingerprint)
 
     def _find_owners(self, service: str) -> list[str]:
-        judges = self._owners.get(service)
-        if judges is None:
-            judges = rank(f"crashes/{service}", self._members)[:OWNER_COUNT]
-            self._owners[service] = judges
-        return judges
+        owners = self._owners.get(service)
+        if owners is None:
+            owners = rank(f"crashes/{service}", self._members)[:OWNER_COUNT]
+            self._owners[service] = owners
+        return owners
 
     def _find_delay(self, service: str) -> float:
-        judges = self._find_owners(service)
-        place = judges.index(self._me) if self._me in judges else OWNER_COUNT
-        return OWNER_STAGGER_S * place
+        owners = self._find_owners(service)
+        position = owners.index(self._me) if self._me in owners else OWNER_COUNT
+        return OWNER_STAGGER_S * position
 
-    def _evaluate_crashes(self, moment: float) -> None:
-        if not self._ledger.is_due(moment):
+    def _evaluate_crashes(self, timestamp: float) -> None:
+        if not self._analysis.is_due(timestamp):
             return
-        suspects = self._ledger.find_suspects(
-            moment,
-            quarantined=self.quarantine.quarantined(moment),
-            previously_quarantined=self.quarantine.previously_quarantined(moment),
+        suspects = self._analysis.find_suspects(
+            timestamp,
+            quarantined=self.quarantine.quarantined(timestamp),
+            previously_quarantined=self.quarantine.previously_quarantined(timestamp),
             is_canary=self.is_canary,
         )
         for suspect in suspects:
-            self._quarantine_suspect(suspect, moment)
-        held = self.quarantine.quarantined(moment)
-        for service, version in self._ledger.list_unproven_crashes(moment, held):
-            # One judge counts it: a crash that all instances saw is one bad sign.
+            self._quarantine_suspect(suspect, timestamp)
+        quarantined = self.quarantine.quarantined(timestamp)
+        for service, version in self._analysis.list_unproven_crashes(
+            timestamp, quarantined
+        ):
+            # Only the first owner counts it: a crash that every instance reports is
+            # still a single failure.
             if self._find_owners(service)[:1] == [self._me]:
                 self.on_unproven_crash(service, version)
 
-    def _quarantine_suspect(self, suspect: Suspect, moment: float) -> None:
+    def _quarantine_suspect(self, suspect: Suspect, timestamp: float) -> None:
         fingerprint = suspect.fingerprint
-        held = self.quarantine.add(
-            fingerprint, suspect.service, suspect.versions, moment
+        entry = self.quarantine.add(
+            fingerprint, suspect.service, suspect.versions, timestamp
         )
         log_event(
             "request_held",
@@ -184,46 +187,46 @@
             fingerprint=fingerprint,
             service=suspect.service,
             crashed=",".join(suspect.backends),
-            times=held.times,
-            hold_s=held.left_s,
+            times=entry.times,
+            hold_s=entry.left_s,
             only_versions=",".join(suspect.versions),
         )
-        self._publish(held)
+        self._publish(entry)
 
     # -- the list --
 
     def release_answered(self, fingerprint: str) -> None:
-        """Let a request go that was answered whole though it is held."""
+        """Release a request that was answered although it is quarantined."""
         if self.has_entries and self.find(fingerprint) is not None:
             self.release(fingerprint)
 
     def release(self, fingerprint: str) -> None:
-        """Let a request go that was answered whole though it is held."""
-        self._ledger.clear(fingerprint)
-        cleared = self.quarantine.release(fingerprint, now())
-        if cleared is not None:
+        """Release a request and publish the release."""
+        self._analysis.clear(fingerprint)
+        released = self.quarantine.release(fingerprint, now())
+        if released is not None:
             log_event("request_let_go", fingerprint=fingerprint, why="answered")
-            self._publish(cleared)
+            self._publish(released)
 
     def handle_entries(self, sender: str, message: QuarantineEntries) -> None:
-        """Take over entries, and answer with what the sender lacks."""
-        moment = now()
+        """Apply entries, and reply with those that the sender lacks."""
+        timestamp = now()
         self.apply_entries(message.entries, source=sender)
         if message.is_complete:
             self.has_complete_list = True
         if not message.wants_reply:
             return
-        theirs = {each.fingerprint: each.precedence for each in message.entries}
-        lacking = [
-            held
-            for held in self.quarantine.list(moment)
-            if theirs.get(held.fingerprint, (0, False)) < held.precedence
+        known = {each.fingerprint: each.precedence for each in message.entries}
+        missing = [
+            entry
+            for entry in self.quarantine.list(timestamp)
+            if known.get(entry.fingerprint, (0, False)) < entry.precedence
         ]
-        if lacking:
-            self._send(sender, QuarantineEntries(entries=lacking))
+        if missing:
+            self._send(sender, QuarantineEntries(entries=missing))
 
     def handle_digest(self, sender: str, message: QuarantineDigest) -> None:
-        """Answer one that has another list."""
+        """Reply to a peer that starts or whose list differs."""
         if not message.asks and message.digest == self.quarantine.digest:
             return
         entries = self.quarantine.list(now())
@@ -237,78 +240,81 @@
         )
 
     def apply_entries(self, entries: Sequence[QuarantineEntry], *, source: str) -> None:
-        """Take over entries from a peer or from the store."""
-        moment = now()
-        for held in entries:
-            if not self.quarantine.apply(held, moment):
+        """Apply entries from a peer or from the store."""
+        timestamp = now()
+        for entry in entries:
+            if not self.quarantine.apply(entry, timestamp):
                 continue
             log_event(
                 "request_held_heard",
-                fingerprint=held.fingerprint,
-                times=held.times,
-                left_s=held.left_s,
-                is_cleared=held.is_cleared,
+                fingerprint=entry.fingerprint,
+                times=entry.times,
+                left_s=entry.left_s,
+                is_cleared=entry.is_cleared,
                 source=source,
             )
-            self._process_change(held)
+            self._process_change(entry)
 
     def tick(self) -> None:
-        """Judge, tell, compare and ask, as is due."""
-        moment = now()
-        self._evaluate_crashes(moment)
-        self._publish_due(moment)
-        if not self.has_complete_list and moment - self._queried_at >= QUERY_INTERVAL_S:
-            self._queried_at = moment
+        """Run all periodic work that is due."""
+        timestamp = now()
+        self._evaluate_crashes(timestamp)
+        self._publish_due(timestamp)
+        if (
+            not self.has_complete_list
+            and timestamp - self._queried_at >= QUERY_INTERVAL_S
+        ):
+            self._queried_at = timestamp
             self._query_peer()
-        if moment - self._compared_at < COMPARE_INTERVAL_S:
+        if timestamp - self._compared_at < COMPARE_INTERVAL_S:
             return
-        self._compared_at = moment
-        for held in self.quarantine.expire(moment):
-            self._schedule_write(held.fingerprint, held.service)
+        self._compared_at = timestamp
+        for entry in self.quarantine.expire(timestamp):
+            self._schedule_write(entry.fingerprint, entry.service)
         if len(self.quarantine):
-            word = QuarantineDigest(digest=self.quarantine.digest)
+            message = QuarantineDigest(digest=self.quarantine.digest)
             for name in self._neighbours:
-                self._send(name, word)
+                self._send(name, message)
 
     def _query_peer(self) -> None:
         others = [name for name in self._members if name != self._me]
         if others:
-            word = QuarantineDigest(digest=self.quarantine.digest, asks=True)
-            self._send(self._rng.choice(others), word)
-
-    def _process_change(self, held: QuarantineEntry) -> None:
-        if held.is_cleared:
-            self._ledger.clear(held.fingerprint)
-        elif self.was_answered(held.fingerprint):
-            self.release(held.fingerprint)
+            message = QuarantineDigest(digest=self.quarantine.digest, asks=True)
+            self._send(self._rng.choice(others), message)
+
+    def _process_change(self, entry: QuarantineEntry) -> None:
+        if entry.is_cleared:
+            self._analysis.clear(entry.fingerprint)
+        elif self.was_answered(entry.fingerprint):
+            self.release(entry.fingerprint)
             return
         else:
-            self.on_quarantined(held.fingerprint)
-        self._schedule_write(held.fingerprint, held.service)
+            self.on_quarantined(entry.fingerprint)
+        self._schedule_write(entry.fingerprint, entry.service)
 
-    def _publish(self, held: QuarantineEntry) -> None:
-        self._publications[held.fingerprint] = _Publication(
-            entry=held, sent_count=0, sent_at=-1e9
+    def _publish(self, entry: QuarantineEntry) -> None:
+        self._publications[entry.fingerprint] = _Publication(
+            entry=entry, sent_count=0, sent_at=-1e9
         )
-        # May let it go at once, which is told in its place then.
-        self._process_change(held)
+        # This may release the request at once; the release then replaces the entry.
+        self._process_change(entry)
         self._publish_due(now())
 
-    def _publish_due(self, moment: float) -> None:
-        for fingerprint, telling in list(self._publications.items()):
-            if moment - telling.sent_at < PUBLISH_INTERVAL_S:
+    def _publish_due(self, timestamp: float) -> None:
+        for fingerprint, publication in list(self._publications.items()):
+            if timestamp - publication.sent_at < PUBLISH_INTERVAL_S:
                 continue
-            if telling.sent_count >= PUBLISH_ATTEMPTS:
+            if publication.sent_count >= PUBLISH_ATTEMPTS:
                 del self._publications[fingerprint]
                 continue
-            telling.sent_count += 1
-            telling.sent_at = moment
+            publication.sent_count += 1
+            publication.sent_at = timestamp
             for name in self._members:
                 if name != self._me:
-                    self._send(name, QuarantineEntries(entries=[telling.entry]))
+                    self._send(name, QuarantineEntries(entries=[publication.entry]))
 
     def _schedule_write(self, fingerprint: str, service: str) -> None:
-        judges = self._find_owners(service)
-        if self._me in judges:
-            wait_s = WRITE_STAGGER_S * judges.index(self._me)
-            self.unwritten[fingerprint] = now() + wait_s
+        owners = self._find_owners(service)
+        if self._me in owners:
+            delay_s = WRITE_STAGGER_S * owners.index(self._me)
+            self.unwritten[fingerprint] = now() + delay_s
--- a/tests/instance/test_placement.py
+++ b/tests/instance/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of asking the keepers of engines, without a network."""
+"""Tests of queries for the load of engines, without a network."""
 
 from __future__ import annotations
 
@@ -23,26 +23,26 @@
 PART = Part(key=5, tokens=300)
 
 
-class Net:
-    """Deliver messages among placements at once, but for those of dead instances."""
+class Network:
+    """Deliver messages among instances at once, except to unreachable ones."""
 
     def __init__(self, *names: str) -> None:
-        self.dead: set[str] = set()
+        self.unreachable: set[str] = set()
         self.sent = 0
         self.members = {
-            name: Placement(me=name, send=self._make_tell(name)) for name in names
+            name: Placement(me=name, send=self._make_send(name)) for name in names
         }
         for member in self.members.values():
             member.set_members(list(names))
 
-    def _make_tell(self, sender: str) -> Callable[[str, msgspec.Struct], None]:
-        def tell(to: str, message: msgspec.Struct) -> None:
+    def _make_send(self, sender: str) -> Callable[[str, msgspec.Struct], None]:
+        def send(to: str, message: msgspec.Struct) -> None:
             self.sent += 1
-            if to not in self.dead:
+            if to not in self.unreachable:
                 loop = asyncio.get_running_loop()
                 loop.call_soon(self._deliver, sender, to, message)
 
-        return tell
+        return send
 
     def _deliver(self, sender: str, to: str, message: msgspec.Struct) -> None:
         member = self.members[to]
@@ -57,12 +57,14 @@
                 member.handle_ended(sender, message)
 
 
-def test_know_what_another_instance_has_placed() -> None:
+def test_loads_include_prompts_of_other_instances() -> None:
     async def case() -> None:
-        net = Net("a", "b", "c")
-        prompt = net.members["a"].place("e1", reading_s=0.4, lasts_s=9.0, parts=(PART,))
+        network = Network("a", "b", "c")
+        prompt = network.members["a"].place(
+            "e1", reading_s=0.4, lasts_s=9.0, parts=(PART,)
+        )
         await asyncio.sleep(0)
-        loads = await net.members["b"].query_loads(ENGINES, (PART,))
+        loads = await network.members["b"].query_loads(ENGINES, (PART,))
         assert set(loads) == set(ENGINES)
         assert loads["e1"].wait_s == pytest.approx(0.4, abs=0.05)
         assert loads["e1"].kept_tokens == 300
@@ -70,57 +72,57 @@
         prompt.end(ReadingEnd.BEGUN)
         prompt.end(ReadingEnd.SILENT)
         await asyncio.sleep(0)
-        loads = await net.members["c"].query_loads(["e1"], (PART,))
+        loads = await network.members["c"].query_loads(["e1"], (PART,))
         assert loads["e1"].wait_s == 0.0
 
     asyncio.run(case())
 
 
-def test_go_on_without_a_keeper_that_is_gone() -> None:
-    """A keeper is paused: its engines' loads are unknown, those of others are not.
+def test_silent_owner_is_not_queried_again() -> None:
+    """An owner is paused: only the loads of its engines are unknown.
 
-    It costs one short wait; for a while nobody waits for it again.
+    The first query waits for it until the time-out; the following ones don't.
     """
 
     async def case() -> None:
-        net = Net("a", "b", "c")
-        net.dead = {"b"}
-        began = now()
-        loads = await net.members["a"].query_loads(ENGINES, ())
+        network = Network("a", "b", "c")
+        network.unreachable = {"b"}
+        started_at = now()
+        loads = await network.members["a"].query_loads(ENGINES, ())
         assert 0 < len(loads) < len(ENGINES)
-        assert now() - began >= REPLY_TIMEOUT_S * 0.9
-        sent = net.sent
-        again = await net.members["a"].query_loads(ENGINES, ())
+        assert now() - started_at >= REPLY_TIMEOUT_S * 0.9
+        sent = network.sent
+        again = await network.members["a"].query_loads(ENGINES, ())
         assert set(again) == set(loads)
-        # One question and one answer, to and from the keeper that lives.
-        assert net.sent - sent == 2
+        # One request to the reachable owner, and its reply.
+        assert network.sent - sent == 2
 
     asyncio.run(case())
 
 
-def test_find_loads_again_when_the_keepers_change() -> None:
-    """A keeper ends, and another one takes its engines over.
+def test_loads_after_a_change_of_owners() -> None:
+    """An owner terminates, and other instances become owners of its engines.
 
-    It starts with nothing and knows within a placement or two what waits there.
+    They start without any state and learn the load from the next placements.
     """
 
     async def case() -> None:
-        net = Net("a", "b", "c")
-        for member in net.members.values():
+        network = Network("a", "b", "c")
+        for member in network.members.values():
             member.set_members(["a", "c"])
         for engine in ENGINES:
-            net.members["a"].place(engine, reading_s=0.3, lasts_s=9.0, parts=())
+            network.members["a"].place(engine, reading_s=0.3, lasts_s=9.0, parts=())
         await asyncio.sleep(0)
-        loads = await net.members["c"].query_loads(ENGINES, ())
+        loads = await network.members["c"].query_loads(ENGINES, ())
         assert min(load.wait_s for load in loads.values()) > 0.2
 
     asyncio.run(case())
 
 
-def test_ask_each_keeper_once() -> None:
+def test_one_request_per_owner() -> None:
     async def case() -> None:
-        net = Net("a", "b", "c")
-        await net.members["a"].query_loads(ENGINES, (PART,))
-        assert net.sent <= 4
+        network = Network("a", "b", "c")
+        await network.members["a"].query_loads(ENGINES, (PART,))
+        assert network.sent <= 4
 
     asyncio.run(case())
--- a/tests/instance/test_quarantine.py
+++ b/tests/instance/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Tests of how instances tell each other what is held, without sockets."""
+"""Tests of the shared quarantine of requests, without sockets."""
 
 from __future__ import annotations
 
@@ -20,54 +20,59 @@
 from baobabthread.routing.versions import VersionPlan
 
 
-class Told:
-    """Keep what a desk sends."""
+class SentMessages:
+    """Record the messages that a coordinator sends."""
 
     def __init__(self) -> None:
-        self.words: list[tuple[str, msgspec.Struct]] = []
+        self.messages: list[tuple[str, msgspec.Struct]] = []
 
-    def tell(self, to: str, word: msgspec.Struct) -> None:
-        """Keep one message."""
-        self.words.append((to, word))
+    def send(self, to: str, message: msgspec.Struct) -> None:
+        """Record one message."""
+        self.messages.append((to, message))
 
     def entries(self) -> list[QuarantineEntry]:
         """Return the entries of all messages."""
-        found = [word for _, word in self.words if isinstance(word, QuarantineEntries)]
-        return [held for word in found for held in word.entries]
+        found = [
+            message
+            for _, message in self.messages
+            if isinstance(message, QuarantineEntries)
+        ]
+        return [entry for message in found for entry in message.entries]
 
 
-def make_desk() -> tuple[QuarantineCoordinator, Told]:
-    told = Told()
-    desk = QuarantineCoordinator(me="a", send=told.tell)
-    desk.set_members(["a", "b", "c", "d"])
-    desk.has_complete_list = True
-    return desk, told
+def make_coordinator() -> tuple[QuarantineCoordinator, SentMessages]:
+    sent = SentMessages()
+    coordinator = QuarantineCoordinator(me="a", send=sent.send)
+    coordinator.set_members(["a", "b", "c", "d"])
+    coordinator.has_complete_list = True
+    return coordinator, sent
 
 
-def make_held(fingerprint: str = "f1", **more: object) -> QuarantineEntry:
+def make_entry(fingerprint: str = "f1", **changes: object) -> QuarantineEntry:
     fields: dict[str, object] = {"service": "s", "times": 1, "left_s": 60.0}
-    return QuarantineEntry(fingerprint=fingerprint, **(fields | more))  # type: ignore[arg-type]
+    return QuarantineEntry(fingerprint=fingerprint, **(fields | changes))  # type: ignore[arg-type]
 
 
-def test_say_nothing_while_nothing_is_held() -> None:
-    desk, told = make_desk()
+def test_no_messages_while_nothing_is_quarantined() -> None:
+    coordinator, sent = make_coordinator()
     for _ in range(5):
-        desk.tick()
-    assert told.words == []
+        coordinator.tick()
+    assert sent.messages == []
 
 
-def test_hold_nothing_once_the_version_that_crashed_was_taken_back() -> None:
-    """The version is taken back between its last crash and a judge's look at it.
+def test_no_quarantine_after_the_crashed_version_was_rolled_back() -> None:
+    """The version is rolled back between its last crash and the evaluation.
 
-    Judges look one after the other; a later one took it for a version that serves.
+    Owners evaluate one after the other; a later one must not take it for a proven
+    version.
     """
-    desk, _ = make_desk()
+    coordinator, _ = make_coordinator()
     plan = VersionPlan(service="s", bounds=RoutingBounds())
     order = RolloutOrder(number=1, service="s", target="v2", time_limit_s=60.0)
     plan.apply_order(order, now())
-    desk.is_canary = lambda service, version: plan.is_unproven(version)
+    coordinator.is_canary = lambda service, version: plan.is_unproven(version)
     for number in range(3):
-        desk.handle_crash(
+        coordinator.handle_crash(
             Crash(
                 backend=f"b{number}",
                 service="s",
@@ -82,69 +87,73 @@
     )
     plan.apply_status(status, now())
     time.sleep(SETTLE_S + module.OWNER_COUNT * module.OWNER_STAGGER_S)
-    desk.tick()
-    assert not desk.has_entries
+    coordinator.tick()
+    assert not coordinator.has_entries
 
 
-def test_object_to_what_was_answered_here() -> None:
-    """A judge holds a popular request that this instance answered a moment ago.
+def test_recently_answered_request_is_released() -> None:
+    """An owner quarantines a popular request that this instance has just answered.
 
-    The objection must be what is told on, not the entry that it is about.
+    The instance must publish the release, not the entry that it received.
     """
-    desk, told = make_desk()
-    desk.was_answered = lambda fingerprint: fingerprint == "f1"
-    desk.handle_entries("b", QuarantineEntries(entries=[make_held()]))
-    assert desk.find("f1") is None
-    assert told.entries()
-    assert all(held.is_cleared for held in told.entries())
-
-
-def test_tell_only_what_a_neighbour_lacks() -> None:
-    desk, told = make_desk()
-    desk.handle_entries(
-        "b", QuarantineEntries(entries=[make_held("f1"), make_held("f2")])
+    coordinator, sent = make_coordinator()
+    coordinator.was_answered = lambda fingerprint: fingerprint == "f1"
+    coordinator.handle_entries("b", QuarantineEntries(entries=[make_entry()]))
+    assert coordinator.find("f1") is None
+    assert sent.entries()
+    assert all(entry.is_cleared for entry in sent.entries())
+
+
+def test_reply_has_only_missing_entries() -> None:
+    coordinator, sent = make_coordinator()
+    coordinator.handle_entries(
+        "b", QuarantineEntries(entries=[make_entry("f1"), make_entry("f2")])
     )
-    desk.handle_entries(
-        "b", QuarantineEntries(entries=[make_held("f2")], wants_reply=True)
+    coordinator.handle_entries(
+        "b", QuarantineEntries(entries=[make_entry("f2")], wants_reply=True)
     )
-    assert [held.fingerprint for held in told.entries()] == ["f1"]
+    assert [entry.fingerprint for entry in sent.entries()] == ["f1"]
 
 
-def test_answer_a_list_that_differs_and_whoever_asks() -> None:
-    desk, told = make_desk()
-    desk.handle_digest("b", QuarantineDigest(digest=desk.quarantine.digest))
-    assert told.words == []
-    desk.handle_digest("b", QuarantineDigest(digest=desk.quarantine.digest, asks=True))
-    desk.handle_entries("c", QuarantineEntries(entries=[make_held()]))
-    desk.handle_digest("d", QuarantineDigest(digest=0))
-    (first, asked), (second, differs) = told.words
+def test_reply_to_a_differing_digest_and_to_a_query() -> None:
+    coordinator, sent = make_coordinator()
+    coordinator.handle_digest(
+        "b", QuarantineDigest(digest=coordinator.quarantine.digest)
+    )
+    assert sent.messages == []
+    coordinator.handle_digest(
+        "b", QuarantineDigest(digest=coordinator.quarantine.digest, asks=True)
+    )
+    coordinator.handle_entries("c", QuarantineEntries(entries=[make_entry()]))
+    coordinator.handle_digest("d", QuarantineDigest(digest=0))
+    (first, to_query), (second, to_digest) = sent.messages
     assert (first, second) == ("b", "d")
-    assert isinstance(asked, QuarantineEntries)
-    assert asked.is_complete
-    assert not asked.wants_reply
-    assert isinstance(differs, QuarantineEntries)
-    assert differs.wants_reply
+    assert isinstance(to_query, QuarantineEntries)
+    assert to_query.is_complete
+    assert not to_query.wants_reply
+    assert isinstance(to_digest, QuarantineEntries)
+    assert to_digest.wants_reply
 
 
-def test_read_the_store_where_no_peer_tells() -> None:
-    desk, told = make_desk()
-    desk.has_complete_list = False
-    desk.tick()
-    assert [type(word) for _, word in told.words] == [QuarantineDigest]
-    assert not desk.must_read_store
-    desk._started_at -= module.PEER_LIST_TIMEOUT_S + 0.1
-    assert desk.must_read_store
-    desk.handle_entries("b", QuarantineEntries(entries=[], is_complete=True))
-    assert not desk.must_read_store
+def test_store_is_read_if_no_peer_replies() -> None:
+    coordinator, sent = make_coordinator()
+    coordinator.has_complete_list = False
+    coordinator.tick()
+    assert [type(message) for _, message in sent.messages] == [QuarantineDigest]
+    assert not coordinator.must_read_store
+    coordinator._started_at -= module.PEER_LIST_TIMEOUT_S + 0.1
+    assert coordinator.must_read_store
+    coordinator.handle_entries("b", QuarantineEntries(entries=[], is_complete=True))
+    assert not coordinator.must_read_store
 
 
-def test_tell_that_a_request_is_let_go_after_it_was_judged() -> None:
-    """The judge itself answered the request after its third crash.
+def test_release_is_published_after_quarantine() -> None:
+    """The owner itself answered the request after its third crash.
 
-    It holds it and lets it go in the same moment: told last must be that it is let go.
+    It quarantines and releases it at once; only the release must be published.
     """
-    desk, told = make_desk()
-    desk.set_members(["a", "b"])
+    coordinator, sent = make_coordinator()
+    coordinator.set_members(["a", "b"])
     for number in range(3):
         crash = Crash(
             backend=f"e{number}",
@@ -154,8 +163,8 @@
             fresh=["f1"],
             older=[],
         )
-        desk.report_crash(crash)
-    desk.was_answered = lambda fingerprint: True
+        coordinator.report_crash(crash)
+    coordinator.was_answered = lambda fingerprint: True
     time.sleep(SETTLE_S + module.OWNER_STAGGER_S + 0.05)
-    desk.tick()
-    assert [held.is_cleared for held in told.entries()] == [True]
+    coordinator.tick()
+    assert [entry.is_cleared for entry in sent.entries()] == [True]
--- a/tests/instance/test_selection.py
+++ b/tests/instance/test_selection.py
@@ -1,4 +1,4 @@
-"""Tests of which version and which server a request gets."""
+"""Tests of the selection of version and backend server."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from baobabthread.routing.versions import VersionPlan
 
 
-class Servers:
-    """List servers of two versions; some of them are full."""
+class FakeBackends:
+    """Servers of two versions; some of them are full."""
 
     def __init__(self) -> None:
         self.names = {
@@ -43,14 +43,14 @@
         return SimpleNamespace(name=names[0]) if names else None
 
 
-def make_selection(servers: Servers) -> Selection:
-    nothing: Any = None
-    backends: Any = servers
+def make_selection(backends: FakeBackends) -> Selection:
+    unused: Any = None
+    any_backends: Any = backends
     return Selection(
-        replica=nothing,
-        backends=backends,
+        replica=unused,
+        backends=any_backends,
         estimates=Estimates(),
-        placement=nothing,
+        placement=unused,
         disabled=frozenset({Mechanism.LOAD_QUERIES, Mechanism.PROMPT_AFFINITY}),
     )
 
@@ -65,56 +65,56 @@
     return plan
 
 
-def make_moved() -> RequestContext:
-    flight = make_flight("s")
-    flight.session_on_new_version = True
-    return flight
+def make_context_on_new_version() -> RequestContext:
+    context = make_flight("s")
+    context.session_on_new_version = True
+    return context
 
 
-def choose(servers: Servers, flight: RequestContext, plan: VersionPlan) -> str:
-    link = asyncio.run(make_selection(servers).select(flight, plan))
+def choose(backends: FakeBackends, context: RequestContext, plan: VersionPlan) -> str:
+    link = asyncio.run(make_selection(backends).select(context, plan))
     assert link is not None
     return link.name
 
 
-def test_keep_a_session_on_the_new_version_when_its_few_servers_are_full() -> None:
-    """The servers on trial are busy, and a session that has moved went back."""
-    servers = Servers()
-    assert choose(servers, make_moved(), make_plan()) == "canary"
-    servers.full = {"canary"}
-    assert choose(servers, make_moved(), make_plan()) == "new1"
+def test_session_stays_on_the_new_version_when_all_canaries_are_full() -> None:
+    """All canaries are busy; a session that has moved must not go back."""
+    backends = FakeBackends()
+    assert choose(backends, make_context_on_new_version(), make_plan()) == "canary"
+    backends.full = {"canary"}
+    assert choose(backends, make_context_on_new_version(), make_plan()) == "new1"
 
 
-def test_serve_a_session_on_the_old_version_when_no_new_server_is_left() -> None:
-    servers = Servers()
-    servers.full = set(servers.names["v2"])
-    flight = make_moved()
-    assert choose(servers, flight, make_plan()) == "old1"
-    assert flight.version_reason is VersionReason.NO_SERVER
+def test_session_uses_the_old_version_without_new_servers() -> None:
+    backends = FakeBackends()
+    backends.full = set(backends.names["v2"])
+    context = make_context_on_new_version()
+    assert choose(backends, context, make_plan()) == "old1"
+    assert context.version_reason is VersionReason.NO_SERVER
 
 
-def test_tell_why_a_request_gets_its_version() -> None:
-    servers, plan = Servers(), make_plan()
-    flight = make_flight("s")
-    assert choose(servers, flight, plan) == "old1"
-    inside = plan.may_join_canary(flight.session)
-    assert flight.version_reason is (
-        VersionReason.KEPT if inside else VersionReason.NOT_CANARY
+def test_reason_of_the_chosen_version() -> None:
+    backends, plan = FakeBackends(), make_plan()
+    context = make_flight("s")
+    assert choose(backends, context, plan) == "old1"
+    may_move = plan.may_join_canary(context.session)
+    assert context.version_reason is (
+        VersionReason.KEPT if may_move else VersionReason.NOT_CANARY
     )
-    flight = make_moved()
-    choose(servers, flight, plan)
-    assert flight.version_reason is VersionReason.CANARY
+    context = make_context_on_new_version()
+    choose(backends, context, plan)
+    assert context.version_reason is VersionReason.CANARY
     plan.analysis.alarm = "errors"
-    flight = make_moved()
-    assert choose(servers, flight, plan) == "old1"
-    assert flight.version_reason is VersionReason.ROLLED_BACK
+    context = make_context_on_new_version()
+    assert choose(backends, context, plan) == "old1"
+    assert context.version_reason is VersionReason.ROLLED_BACK
 
 
-def test_leave_the_new_version_only_when_no_word_is_left() -> None:
-    servers, plan = Servers(), make_plan()
+def test_new_version_is_left_without_a_permit() -> None:
+    backends, plan = FakeBackends(), make_plan()
     plan.permission = Permission()
-    flight = make_moved()
-    assert choose(servers, flight, plan) == "old1"
-    assert flight.version_reason is VersionReason.NO_PERMIT
+    context = make_context_on_new_version()
+    assert choose(backends, context, plan) == "old1"
+    assert context.version_reason is VersionReason.NO_PERMIT
     plan.permission.confirm(requested_at=now())
-    assert choose(servers, make_moved(), plan) == "canary"
+    assert choose(backends, make_context_on_new_version(), plan) == "canary"
