--- a/src/baobabthread/routing/canary.py
+++ b/src/baobabthread/routing/canary.py
@@ -1,4 +1,4 @@
-"""Evidence for and against a version on trial, counted by all instances together."""
+"""Statistical analysis of a canary version, from the counts of all instances."""
 
 from __future__ import annotations
 
@@ -11,51 +11,52 @@
 from baobabthread.core.rollouts.wealth import Wealth
 
 SLOW_FACTOR = 2.0
-"""An answer is slow when it takes so many times what the old version usually takes."""
+"""Multiple of the old version's usual latency above which a response is slow."""
 MIN_SLOW_EXCESS_S = 0.02
-"""Time above the usual within which no answer is slow: the first one of a server waits
-for a connection, and callers notice nothing of it."""
+"""Excess over the usual latency up to which no response is slow. A server's first
+response includes connecting, which callers do not notice."""
 MIN_EXPECTED_S = 1e-4
-"""Shortest time that answers are compared by."""
+"""Lower bound of the latencies that are compared."""
 LATENCY_SMOOTHING = 0.05
-"""Part by which the usual time of the old version follows each answer."""
+"""Weight of each response in the moving average of the old version's latency."""
 MIN_LATENCIES = 8
-"""Answers of the old version before which nothing passes for slow."""
+"""Responses of the old version that are needed before any response counts as slow."""
 PRIOR_SEEN = 20.0
 PRIOR_BAD = 1.0
 ALARM_WEALTH = 1500.0
-"""Stakes that a bet must win: about five bad answers in a row. With a fresh stake for
-each answer, a good version reaches it once in about 1,500 answers at most."""
+"""Stakes that a bet must win to raise the alarm, as after about five bad responses in a
+row. As each response adds a new stake, a good version reaches it at most once in about
+1,500 responses."""
 MIN_BAD = 3
-"""Bad answers from which on any doubt counts."""
+"""Bad responses from which on even odds are enough to call a version worse."""
 FEW_BAD_ODDS = 10.0
-"""Odds from which on a doubt counts with fewer of them."""
+"""Odds that are required with fewer bad responses than `MIN_BAD`."""
 MAX_BASELINE_RATE = 0.9
-"""Rate of bad answers above which nothing counts as usual."""
+"""Upper bound of the baseline rate of bad responses."""
 ALL_CALLS = ""
-"""Stands for all calls together."""
+"""Key of the counts over all calls."""
 
 
 class CanaryMetric(enum.StrEnum):
-    """Name what can be bad about a version."""
+    """Aspect in which a version can be worse than the old one."""
 
     ERRORS = "errors"
     LATENCY = "latency"
 
 
 TOLERANCES = {CanaryMetric.ERRORS: 0.05, CanaryMetric.LATENCY: 0.03}
-"""How much higher than the old version's the rate of bad answers may be for bets."""
+"""Tolerated excess over the old version's rate of bad responses, for the bets."""
 PROMOTION_MARGINS = {CanaryMetric.ERRORS: 0.03, CanaryMetric.LATENCY: 0.04}
-"""The same at the end of a trial."""
+"""Tolerated excess when the promotion of a canary is decided."""
 FINAL_MARGINS = {CanaryMetric.ERRORS: 0.0, CanaryMetric.LATENCY: 0.12}
-"""What comes on top once all servers of a version take part: those that took none in
-the trial have kept no prompts."""
+"""Additional excess in the final phase, in which all servers of the version take part:
+those that received no canary traffic have no prompts cached."""
 BAD_RATE_LIFTS = {CanaryMetric.ERRORS: (0.08, 0.25), CanaryMetric.LATENCY: (0.2, 0.4)}
-"""Parts of the other answers that a bad version is taken to spoil."""
+"""Assumed fractions of the otherwise good responses that a bad version spoils."""
 
 
 class Count(msgspec.Struct, frozen=True, array_like=True):
-    """Count one instance's answers of one version to one kind of request."""
+    """Counts of one instance for one version, call and metric."""
 
     is_canary: bool = msgspec.field(name="on_trial")
     call: str
@@ -65,23 +66,23 @@
 
 
 class Evidence(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold all counts of one instance; they only grow."""
+    """All counts of one instance; they only grow."""
 
     number: int
-    """The order that the trial is about."""
+    """Number of the roll-out order."""
     counts: list[Count]
 
 
 class SentAttempt(msgspec.Struct, frozen=True, kw_only=True):
-    """Describe an attempt whose answer will speak for or against a version."""
+    """Attempt whose response is evidence for or against a version."""
 
     is_canary: bool
     call: str
     kind: str
-    """Names answers that should take about the same time."""
+    """Groups responses that are expected to have similar latencies."""
     at: float
     expected_s: float
-    """Time that its answer takes where nothing is in the way."""
+    """Latency of the response without load."""
 
 
 class _Key(msgspec.Struct, frozen=True):
@@ -99,10 +100,10 @@
 
 
 class LatencyBaselines:
-    """Follow what answers of the version in force take, by their kind.
+    """Moving averages of the latencies of the version in force, by kind of response.
 
-    Kept over all orders: learnt anew by each trial, where requests are few most of its
-    answers are over before anybody knows what is slow.
+    They persist across roll-outs. If each canary analysis had to learn them again, most
+    responses of a service with few requests would pass before slow ones are recognized.
     """
 
     __slots__ = ("_baselines",)
@@ -111,15 +112,15 @@
         self._baselines: dict[str, tuple[float, int]] = {}
 
     def observe(self, sent: SentAttempt, latency_s: float) -> None:
-        """Take in an answer of the version in force."""
+        """Record a response of the version in force."""
         mean, seen = self._baselines.get(sent.kind, (0.0, 0))
         step = max(LATENCY_SMOOTHING, 1.0 / (seen + 1))
-        # Of logarithms, so that one answer that was stuck doesn't lift the usual.
+        # Averaged as logarithms, so that one stuck response barely raises the mean.
         mean += step * (_find_log_ratio(sent, latency_s) - mean)
         self._baselines[sent.kind] = (mean, seen + 1)
 
     def is_slow(self, sent: SentAttempt, latency_s: float) -> bool | None:
-        """Tell whether an answer is slow; nothing while nobody knows what is usual."""
+        """Return whether a response is slow, or `None` without enough responses."""
         mean, seen = self._baselines.get(sent.kind, (0.0, 0))
         if seen < MIN_LATENCIES:
             return None
@@ -128,7 +129,10 @@
 
 
 class CanaryAnalysis:
-    """Bet that the new version is worse than the old one, from shared counts."""
+    """Sequential test of whether the new version is worse than the old one.
+
+    All instances contribute their counts and bet on the sum of them.
+    """
 
     __slots__ = (
         "_before_final",
@@ -151,7 +155,7 @@
         self.number = number
         self.baselines = baselines or LatencyBaselines()
         self.alarm: str | None = None
-        """The figures that proved the version bad."""
+        """Counts that proved the version bad."""
         self._own: dict[_Key, _Tally] = {}
         self._total: dict[_Key, _Tally] = {}
         self._received: dict[str, dict[_Key, Count]] = {}
@@ -159,21 +163,21 @@
         self._tickets = 0
         self._pending: dict[int, SentAttempt] = {}
         self._overdue: dict[int, SentAttempt] = {}
-        """Attempts that count as slow already and are not answered yet."""
+        """Unanswered attempts that were already counted as slow."""
         self._is_final = False
         self._before_final: dict[_Key, tuple[int, int]] = {}
-        """Answers seen, and bad ones, before the new version took over."""
+        """Responses seen, and bad ones, before the final phase."""
 
     def start_attempt(self, sent: SentAttempt) -> int:
-        """Note an attempt; return the ticket with which to tell of its end."""
+        """Register an attempt; return the ticket that identifies it."""
         self._tickets += 1
         self._pending[self._tickets] = sent
         return self._tickets
 
     def finish_attempt(self, ticket: int, *, failed: bool | None, now: float) -> None:
-        """Take in an answer, or nothing where an attempt ends without one.
+        """Count the response of an attempt; `failed` is `None` if there was none.
 
-        What took its time and was given up is slow, whatever it would have answered.
+        An attempt that was abandoned after a long wait counts as slow.
         """
         sent = self._pending.pop(ticket, None)
         overdue = self._overdue.pop(ticket, None)
@@ -188,7 +192,7 @@
             self._count_latency(sent, now - sent.at, is_complete=failed is not None)
 
     def cancel_attempt(self, ticket: int) -> None:
-        """Forget an attempt that says nothing about a version."""
+        """Discard an attempt that is no evidence for or against a version."""
         self._pending.pop(ticket, None)
         self._overdue.pop(ticket, None)
 
@@ -201,7 +205,7 @@
         failed: bool,
         latency_s: float | None,
     ) -> None:
-        """Take in an answer whose latency is known, if any is."""
+        """Count a response, with its latency if that is known."""
         self._count_own(_Key(is_canary, call, CanaryMetric.ERRORS), bad=failed)
         if not failed and latency_s is not None:
             sent = SentAttempt(
@@ -210,10 +214,10 @@
             self._count_latency(sent, latency_s, is_complete=True)
 
     def count_overdue(self, now: float) -> None:
-        """Count as slow what should have been answered by now.
+        """Count attempts as slow whose responses are overdue.
 
-        A slow version's answers come late; waited for, only its fast ones would be
-        known when it takes over.
+        Without this, only the fast responses of a slow version would be counted by the
+        time it is promoted.
         """
         for ticket, sent in list(self._pending.items()):
             if self.baselines.is_slow(sent, now - sent.at):
@@ -235,7 +239,7 @@
         )
 
     def evidence(self) -> Evidence:
-        """Return this instance's counts for the others."""
+        """Return the counts of this instance, to be sent to the others."""
         return Evidence(
             number=self.number,
             counts=[
@@ -245,7 +249,7 @@
         )
 
     def merge(self, origin: str, evidence: Evidence) -> None:
-        """Take in another instance's counts."""
+        """Merge the counts of another instance; each response counts once."""
         if evidence.number != self.number:
             return
         received = self._received.setdefault(origin, {})
@@ -261,12 +265,12 @@
 
     @property
     def seen(self) -> int:
-        """Give how many answers of the new version were seen by all."""
+        """Responses of the new version seen by all instances."""
         tally = self._total.get(_Key(True, ALL_CALLS, CanaryMetric.ERRORS))
         return tally.seen if tally is not None else 0
 
     def describe(self) -> str:
-        """Return for the log how many answers of each version were bad."""
+        """Return the bad and total responses of each version, for the log."""
         return " ".join(
             f"{'new' if is_canary else 'old'}_{metric}:{tally.bad}/{tally.seen}"
             for metric in CanaryMetric
@@ -277,20 +281,20 @@
 
     @property
     def is_suspicious(self) -> bool:
-        """Tell whether a bet is ahead of what it seldom exceeds."""
+        """Whether a bet exceeds a level that good versions rarely reach."""
         return any(wealth.suspicion >= 1.0 for wealth in self._wealth.values())
 
     @property
     def looks_worse(self) -> bool:
-        """Tell whether its answers are sooner a bad version's than a good one's.
+        """Whether the responses are more likely from a bad version than a good one.
 
-        The bets bear clumps of failures and need many answers. At the end of a trial no
-        more can be waited for, and a bad version that takes over can't be taken back.
+        The bets tolerate clustered failures and need many responses. At promotion there
+        is no time for more, and a bad version cannot be rolled back once it succeeded.
         """
         return any(self._is_worse(key) for key in self._total if key.is_canary)
 
     def begin_final_phase(self) -> None:
-        """Judge what comes from now on also by itself: the load is another one."""
+        """Evaluate later responses also separately, as the load differs from now on."""
         self._is_final = True
         self._before_final = {key: (t.seen, t.bad) for key, t in self._total.items()}
 
@@ -323,16 +327,16 @@
 
     def _bet(self, key: _Key, *, seen: int, bad: int) -> None:
         if self._is_final and key.metric is CanaryMetric.LATENCY:
-            # With all of the traffic moved, a burst or a lost server would be held
-            # against the new version, and nothing runs on the old one beside it.
+            # With all traffic moved, a burst or a lost server would count against the
+            # new version, and the old one has no responses left to compare with.
             return
         wealth = self._wealth.setdefault(key, Wealth())
         rate = self._find_baseline_rate(key, TOLERANCES)
         wealth.bet(seen=seen, bad=bad, rate=rate, stake=1.0)
         total = self._total[key]
         if key.metric is CanaryMetric.LATENCY and total.bad <= rate * total.seen:
-            # Answers are slow in clumps when a server falls out or a burst comes, and
-            # a clump wins a bet; a slow version is slow most of the time.
+            # A lost server or a burst causes clusters of slow responses that would win
+            # the bet, whereas a slow version is slow most of the time.
             return
         if self.alarm is None and wealth.value >= ALARM_WEALTH:
             self.alarm = (
@@ -347,9 +351,9 @@
         *,
         prior_decays: bool = False,
     ) -> float:
-        """Return the highest rate of bad answers that still counts as usual.
+        """Return the highest rate of bad responses that still counts as normal.
 
-        What is assumed of an unknown version may fade as its answers are counted.
+        With `prior_decays`, the prior loses weight as responses are counted.
         """
         old = self._total.get(_Key(False, key.call, key.metric))
         seen = (old.seen if old else 0) + PRIOR_SEEN
@@ -360,13 +364,13 @@
 
 
 def _find_log_ratio(sent: SentAttempt, latency_s: float) -> float:
-    """Return the logarithm of a latency against what was expected."""
+    """Return the logarithm of the ratio of a latency to the expected one."""
     expected_s = max(sent.expected_s, MIN_EXPECTED_S)
     return math.log(max(latency_s, MIN_EXPECTED_S) / expected_s)
 
 
 def _is_likelier_bad(baseline: float, lift: float, tally: _Tally) -> bool:
-    """Tell whether so many bad answers are likelier at a lifted rate than the usual."""
+    """Return whether the counts are likelier at a lifted rate than at the baseline."""
     bad_rate = baseline + lift * (1.0 - baseline)
     bad_weight = math.log(bad_rate / baseline)
     good_weight = math.log((1.0 - bad_rate) / (1.0 - baseline))
--- a/src/baobabthread/routing/changelog.py
+++ b/src/baobabthread/routing/changelog.py
@@ -1,35 +1,35 @@
-"""Which backend servers changed lately, to be told to others one by one."""
+"""Log of the backend servers that changed recently, for incremental replication."""
 
 from __future__ import annotations
 
 MAX_CHANGES = 512
-"""Backend servers whose last change is remembered."""
+"""Maximum number of backend servers whose last change is kept."""
 
 
 class ChangeLog:
-    """Remember the offset at which each backend server was last seen to change."""
+    """Records the offset at which each backend server last changed."""
 
     __slots__ = ("_complete_from", "_offsets", "_pending", "newest")
 
     def __init__(self) -> None:
         self._offsets: dict[str, int] = {}
         self._complete_from: int | None = None
-        """Offset from which on all changes are remembered."""
+        """Offset from which the log is complete."""
         self._pending: set[str] = set()
         self.newest = 0
-        """Offset up to which reading last changed anything."""
+        """Offset of the latest read that changed anything."""
 
     @property
     def has_pending(self) -> bool:
-        """Tell whether anything changed since the last read."""
+        """Whether anything changed since the last read."""
         return bool(self._pending)
 
     def add(self, id: str) -> None:
-        """Note a change, by whatever made it known."""
+        """Add a change, whatever its source."""
         self._pending.add(id)
 
     def record_read(self, offset: int) -> None:
-        """Note that all that changed so far did so up to an offset."""
+        """Assign the offset of a read to all pending changes."""
         if self._complete_from is None:
             self._complete_from = offset
             self._pending.clear()
@@ -44,8 +44,8 @@
             self._complete_from = self._offsets.pop(next(iter(self._offsets)))
 
     def list_since(self, offset: int, *, limit: int) -> list[str] | None:
-        """Return what changed since an offset; nothing if that isn't known or long."""
+        """Return the ids changed since an offset, or `None` if unknown or too many."""
         if self._complete_from is None or offset < self._complete_from:
             return None
-        ids = [id for id, at in self._offsets.items() if at > offset]
+        ids = [id for id, changed_at in self._offsets.items() if changed_at > offset]
         return ids if len(ids) <= limit else None
--- a/src/baobabthread/routing/evaluation.py
+++ b/src/baobabthread/routing/evaluation.py
@@ -1,4 +1,4 @@
-"""When a version on trial takes over, succeeds or is taken back: the leader's part."""
+"""The leader's decisions on a canary: promotion, completion and rollback."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from baobabthread.routing.versions import VersionPlan
 
 MIN_CANARY_S = 2.5
-"""Shortest trial before the new version takes over."""
+"""Minimum duration of the canary phase before a promotion."""
 MIN_RESPONSES = 12
-"""Answers of the new version that are enough to be known before it takes over."""
+"""Responses of the new version that suffice for its promotion."""
 MIN_KNOWN_FRACTION = 0.5
-"""Part of the requests that it got whose answers must be known where they are fewer."""
+"""Fraction of its requests that must have responses if they are fewer than that."""
 COMPLETION_FRACTION = 0.02
 MIN_COMPLETION_S = 0.35
 MAX_COMPLETION_S = 0.6
-"""Time before the limit at which the move is ended though some requests run on, as a
-part of the limit, and its bounds: their streams can be resumed, a missed limit can't be
-made good."""
+"""Time before the limit at which a roll-out is completed even if requests still run on
+the old version, as a fraction of the limit and with bounds. Their streams can be
+resumed, whereas a missed limit cannot be repaired."""
 EARLIEST_COMPLETION_FACTOR = 1.25
-"""Times that time before the limit from which on a move may be ended at all."""
+"""Multiple of that time before the limit from which a roll-out may be completed."""
 
 
 def evaluate_rollout(
@@ -33,10 +33,10 @@
     *,
     totals: ExposureTotals,
 ) -> RolloutState:
-    """Return what the conductor writes of a roll-out now.
+    """Return the state that the leader writes for a roll-out now.
 
-    `others` are the other instances' latest words, `members` their number, `totals`
-    what all have sent.
+    `others` are the latest reports of the other instances, `members` is the number of
+    other instances, and `totals` are the counts of all instances.
     """
     if plan.order is None or plan.state is not RolloutState.RUNNING:
         return plan.state
@@ -45,14 +45,14 @@
     own = plan.progress(now)
     assert own is not None
     reports = [p for p in others if p.number == plan.order.number]
-    if any(word.alarm is not None for word in reports):
+    if any(report.alarm is not None for report in reports):
         return RolloutState.REVERTED
     if not plan.is_final and totals.is_overdrawn(
         elapsed_s=plan.elapsed(now), left_s=plan.left_s(now)
     ):
         return RolloutState.REVERTED
     if not plan.is_final:
-        # The version in force is known to be good; an operator may order anew.
+        # The version in force is known to be good, and an operator may order again.
         is_over = plan.left_s(now) <= 0.0
         return RolloutState.REVERTED if is_over else RolloutState.RUNNING
     if plan.analysis.looks_worse:
@@ -64,24 +64,24 @@
     if not _has_enough_responses(plan, totals) or not totals.may_complete(
         elapsed_s=plan.elapsed(now), left_s=left_s
     ):
-        # Once the old version is stopped, nothing can be held back any more.
+        # Once the old version is stopped, no request can be kept away from the new one.
         return RolloutState.RUNNING
-    # The old version is stopped at once when this is written: whoever still runs
-    # something there would see it cut.
-    moved = [w for w in reports if w.share >= 1.0 and w.old_running == 0]
+    # The old version is stopped as soon as this is written, which would cut requests
+    # that still run on it.
+    moved = [r for r in reports if r.share >= 1.0 and r.old_running == 0]
     if own.old_running == 0 and len(moved) >= members:
         return RolloutState.SUCCEEDED
     return RolloutState.SUCCEEDED if left_s <= completion_s else RolloutState.RUNNING
 
 
 def _has_enough_responses(plan: VersionPlan, totals: ExposureTotals) -> bool:
-    """Tell whether enough answers of the new version are known to let it go on."""
+    """Return whether enough responses of the new version were seen to go on."""
     min_seen = min(MIN_RESPONSES, MIN_KNOWN_FRACTION * totals.total.exposed)
     return plan.analysis.seen >= min_seen
 
 
 def find_completion_s(time_limit_s: float) -> float:
-    """Return how long before a time limit a move is ended at the latest."""
+    """Return how long before its time limit a roll-out is completed at the latest."""
     return min(
         MAX_COMPLETION_S, max(MIN_COMPLETION_S, COMPLETION_FRACTION * time_limit_s)
     )
@@ -90,7 +90,7 @@
 def may_begin_final_phase(
     plan: VersionPlan, totals: ExposureTotals, now: float
 ) -> bool:
-    """Tell whether the conductor lets the new version take over now."""
+    """Return whether the leader may promote the new version now."""
     if not plan.is_running or not plan.has_target_servers or plan.is_final:
         return False
     if plan.analysis.alarm is not None or plan.analysis.looks_worse:
--- a/src/baobabthread/routing/exposure.py
+++ b/src/baobabthread/routing/exposure.py
@@ -1,10 +1,10 @@
-"""How many requests a version on trial may get from all instances together.
+"""Budget for the requests that a canary version receives from all instances.
 
-The bound is a sum over the whole time of a roll-out. What can be sent anywhere, such as
-a request without a session, is a part of what each instance sends itself. Sessions stay
-where they are, so that the sum is kept where they are let in: by the instance that
-leads, from what all have sent. The rest is set aside for the end, when the new version
-takes all that is left of the time.
+The bound applies to the sum over the whole roll-out. Requests without a session can go
+anywhere, so each instance limits them to a share of its own requests. Sessions stay on
+their version, so the leader limits them at admission, from the totals of all instances.
+The rest is reserved for the final phase, in which the new version receives all requests
+until the time limit.
 """
 
 from __future__ import annotations
@@ -19,63 +19,63 @@
 
 MAX_CANARY_FRACTION = 0.6
 MIN_CANARY_FRACTION = 0.15
-"""Most and least of the bound by which requests are chosen for the trial."""
+"""Bounds of the canary share, as fractions of the exposure bound."""
 CANARY_MARGIN = 0.85
-"""Part of what the end of a roll-out leaves over that the trial is planned with."""
+"""Fraction of the budget beyond the final phase that the canary share is sized for."""
 MIN_FINAL_PHASE_S = 0.85
-"""Time that the end of a roll-out takes at least: answers under the whole load are to
-be seen before the old version is stopped."""
+"""Minimum duration of the final phase: responses under full load must be observed
+before the old version is stopped."""
 ADMISSION_FACTOR = 1.35
-"""Times that share up to which further sessions may begin there."""
+"""Multiple of the canary share up to which further sessions are admitted."""
 OVERDRAFT_FRACTION = 0.6
-"""Part of the fixed bound that sessions on trial may use up before it is taken back."""
+"""Fraction of the fixed allowance that canary sessions may use before a rollback."""
 OVERDRAFT_RATE_FACTOR = 0.5
-"""Part of the present rate of requests that is expected to go on until the limit."""
+"""Fraction of the current request rate that is expected until the time limit."""
 PLANNED_FRACTION = 0.93
-"""Part of the bound that is planned for the trial and the end together."""
+"""Fraction of the bound that is planned for the canary and the final phase together."""
 FINAL_RATE_FACTOR = 1.3
-"""Times the present rate of requests that the end of a roll-out leaves room for."""
+"""Multiple of the current request rate that the final phase is planned for."""
 COMPLETION_RATE_FACTOR = 2.0
-"""The same for the time in which nothing can be held back any more."""
+"""The same after completion, when no request can be kept on the old version."""
 COMPLETION_ATTEMPT_FACTOR = 1.75
-"""The same for attempts, where requests are often asked again."""
+"""The same in attempts, for services whose requests are often retried."""
 FINAL_ATTEMPT_FACTOR = 1.1
-"""Times the attempts to expect at the end, where whoever decides on sessions bounds
-them besides."""
+"""Multiple of the attempts expected in the final phase, in which the owners of sessions
+also bound them."""
 FINAL_BUDGET_FACTOR = 1.2
-"""Times the requests to expect at the end that may be decided on."""
+"""Multiple of the requests expected in the final phase that may be admitted."""
 RATE_WINDOW_S = 4.0
-"""Time over which the rate of requests is measured."""
+"""Window over which the request rate is measured."""
 BURST_RATE_WINDOW_S = 0.5
-"""The same where a burst that has just begun must be seen."""
+"""Window in which a burst that has just begun is noticed."""
 MAX_BURST_SHARE = 0.5
-"""Share of the requests without a session that the trial takes at most in a burst."""
+"""Maximum share of the requests without a session that go to the canary in a burst."""
 BURST_INTERVAL_S = 3.0
-"""Time from one burst to the next."""
+"""Time between the starts of two bursts."""
 BURST_LOAD_FACTOR = 1.25
-"""Times the load of a full share that a server on trial gets in a burst."""
+"""Load of a canary server in a burst, as a multiple of its load under all traffic."""
 SESSION_LOAD_FACTOR = 0.4
-"""The same for sessions, whose prompts no server on trial has kept: each takes several
-times the work of one that goes on where it was."""
+"""The same for sessions. No canary server has their prompts cached, so each causes
+several times the work of a session that stays where it was."""
 INITIAL_CREDIT = 0.1
-"""Part of a request with which an instance begins, so that its first one may go."""
+"""Fraction of a request that an instance starts with, so that its first may be sent."""
 EXTRA_FRACTION = 0.4
-"""Part of the fixed bound that the end of a roll-out may use. Only the instance that
-leads hands it out: two that both believe to lead are still below the bound."""
+"""Fraction of the fixed allowance that the final phase may use. Only the leader grants
+it; two instances that both consider themselves leader still stay within the bound."""
 
 
 class Exposure(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell how many requests one instance has sent since an order."""
+    """Number of requests that one instance has sent since an order."""
 
     requests: int = 0
-    """Those that reached any version of the service, each once."""
+    """Requests that reached any version of the service, each counted once."""
     exposed: int = 0
-    """Attempts at the version on trial."""
+    """Attempts on the canary version."""
     attempts: int = 0
-    """Attempts at any version."""
+    """Attempts on any version."""
 
     def merge(self, other: Exposure) -> Exposure:
-        """Return the larger of two counts of the same requests."""
+        """Return the field-wise maximum of two counts of the same requests."""
         return Exposure(
             requests=max(self.requests, other.requests),
             exposed=max(self.exposed, other.exposed),
@@ -84,7 +84,7 @@
 
 
 def find_canary_share(bounds: RoutingBounds, time_limit_s: float) -> float:
-    """Return the share of the requests that a version gets while it is on trial."""
+    """Return the share of the requests that a canary version receives."""
     final_share = (
         FINAL_RATE_FACTOR * MIN_FINAL_PHASE_S / max(MIN_FINAL_PHASE_S, time_limit_s)
     )
@@ -94,10 +94,10 @@
 
 
 class ExposureBudget:
-    """Count what goes to a version on trial against what goes to its service.
+    """Limits the attempts on a canary version by the requests to its service.
 
-    What is earned by a request is spent by the same instance, so that the sum holds
-    with any number of instances, cut off, alone or just started.
+    Each instance spends only what its own requests earn, so the sum stays within the
+    bound for any number of instances, whether cut off, isolated or just started.
     """
 
     __slots__ = ("_attempts", "_exposed", "_final_limit", "_requests", "_reserved")
@@ -110,41 +110,41 @@
         self._final_limit: float | None = None
 
     def count_request(self) -> None:
-        """Note a request that reached a backend server of the service."""
+        """Count a request that reached a backend server of the service."""
         self._requests += 1
 
     def count_attempt(self) -> None:
-        """Note an attempt that reached a backend server of the service."""
+        """Count an attempt that reached a backend server of the service."""
         self._attempts += 1
 
     def try_reserve(self, share: float) -> bool:
-        """Take one out of a share of the requests; return whether there was one."""
+        """Reserve an attempt within a share of the requests; return whether it fits."""
         if self._exposed + self._reserved >= self._limit(share):
             return False
         self.reserve()
         return True
 
     def reserve(self) -> None:
-        """Note an attempt that is about to be sent, whatever the budget."""
+        """Reserve an attempt regardless of the budget."""
         self._reserved += 1
 
     def release(self) -> None:
-        """Give back what an attempt that was never sent has taken."""
+        """Return the reservation of an attempt that was not sent."""
         self._reserved -= 1
 
     def spend(self) -> None:
-        """Note that an attempt has reached the version on trial."""
+        """Turn a reservation into an attempt that reached the canary version."""
         self._reserved -= 1
         self._exposed += 1
 
     def begin_final_phase(self, requests: float) -> None:
-        """Let about so many more go there: the version takes over all that is left."""
+        """Allow about `requests` further attempts, for the final phase."""
         if self._final_limit is None:
             final_requests = FINAL_RATE_FACTOR * requests + math.sqrt(requests) + 1.0
             self._final_limit = self._exposed + self._reserved + final_requests
 
     def report(self) -> Exposure:
-        """Return what was counted, for the one that leads the roll-out."""
+        """Return the counts to report to the leader."""
         return Exposure(
             requests=self._requests, exposed=self._exposed, attempts=self._attempts
         )
@@ -156,33 +156,33 @@
 
 
 class FinalPhaseBudget:
-    """Count what one instance decides on while a version takes over."""
+    """Bounds the requests that one instance admits in the final phase."""
 
     __slots__ = ("_spent", "quota")
 
     def __init__(self, *, quota: float | None = None) -> None:
         self.quota = quota
-        """Requests that may be decided on; None where nothing bounds them."""
+        """Requests that may be admitted; `None` if unbounded."""
         self._spent = 0
 
     def has_remaining(self, drawn: float) -> bool:
-        """Tell whether one more may go there.
+        """Return whether another request may be admitted.
 
-        `drawn` is a random number from 0 to 1: it rounds the part up or down, so that
-        the sum over all instances holds.
+        `drawn` is a random number from 0 to 1 that rounds the quota up or down, so that
+        the sum over all instances matches.
         """
         return self.quota is None or self._spent + drawn < self.quota
 
     def spend(self) -> None:
-        """Note one that goes there."""
+        """Count an admitted request."""
         self._spent += 1
 
 
 class Bursts:
-    """Put the trial's requests on few servers, close to each other.
+    """Concentrates the canary's requests on few servers, in bursts.
 
-    Spread thinly over all servers, a small share never meets another request there, and
-    a version that fails under load passes its trial.
+    Spread over all servers, a small share causes no concurrent requests, and a version
+    that fails under load would pass as a canary.
     """
 
     __slots__ = ("_canary_share", "burst_servers", "session_servers", "share")
@@ -192,16 +192,16 @@
         self.burst_servers = max(
             1, math.ceil(canary_share * servers / BURST_LOAD_FACTOR)
         )
-        """Servers of the new version that take the bursts."""
+        """Servers of the new version that receive the bursts."""
         self.session_servers = max(
             1, math.ceil(canary_share * servers / SESSION_LOAD_FACTOR)
         )
-        """Servers of it that take the sessions on trial."""
+        """Servers of the new version that receive the canary sessions."""
         load = BURST_LOAD_FACTOR * self.burst_servers / max(1, servers)
         self.share = max(canary_share, min(MAX_BURST_SHARE, load))
 
     def is_active(self, elapsed_s: float) -> bool:
-        """Tell whether a burst runs so many seconds after the order."""
+        """Return whether a burst is active at a time after the order."""
         return (
             elapsed_s % BURST_INTERVAL_S
             < BURST_INTERVAL_S * self._canary_share / self.share
@@ -209,7 +209,7 @@
 
 
 class Rate:
-    """Measure a rate from a count that grows."""
+    """Measures the rate of a growing count over a sliding window."""
 
     __slots__ = ("_samples", "_window_s")
 
@@ -218,13 +218,13 @@
         self._samples: deque[tuple[float, int]] = deque()
 
     def record(self, count: int, now: float) -> None:
-        """Note the count as it is now."""
+        """Record the current count."""
         self._samples.append((now, count))
         while len(self._samples) > 2 and now - self._samples[1][0] >= self._window_s:
             self._samples.popleft()
 
     def per_s(self) -> float:
-        """Return how much the count grows in a second."""
+        """Return the growth of the count per second."""
         if len(self._samples) < 2:
             return 0.0
         (started_at, first), (ended_at, last) = self._samples[0], self._samples[-1]
@@ -232,7 +232,7 @@
 
 
 class ExposureTotals:
-    """Add up what all instances have sent since an order, for the one that leads."""
+    """Sums what all instances have sent since an order, for the leader."""
 
     __slots__ = ("_bounds", "_burst_rate", "_rate", "total")
 
@@ -245,41 +245,41 @@
     def record(
         self, counts: Iterable[Exposure], now: float, *, known: Exposure | None = None
     ) -> None:
-        """Take in the newest word of each instance, this one included.
+        """Record the latest counts of all instances, including this one.
 
-        Whoever begins to lead has not heard all: `known` is what others have added up.
+        A new leader has not received all reports; `known` is the sum known to others.
         """
         reports = list(counts)
         total = Exposure(
-            requests=sum(word.requests for word in reports),
-            exposed=sum(word.exposed for word in reports),
-            attempts=sum(word.attempts for word in reports),
+            requests=sum(report.requests for report in reports),
+            exposed=sum(report.exposed for report in reports),
+            attempts=sum(report.attempts for report in reports),
         )
         self.total = total.merge(known) if known is not None else total
         self._rate.record(self.total.requests, now)
         self._burst_rate.record(self.total.requests, now)
 
     def per_s(self, elapsed_s: float) -> float:
-        """Return the rate of requests to expect, so many seconds after the order."""
-        # A lull, such as a loss of most instances, is no reason to expect few.
+        """Return the request rate to expect at a time after the order."""
+        # A lull, such as after the loss of most instances, must not lower it.
         average = self.total.requests / max(1.0, elapsed_s)
         return max(self._rate.per_s(), average)
 
     def may_promote(self, *, elapsed_s: float, left_s: float) -> bool:
-        """Tell whether the version may get everything for what is left of its time."""
+        """Return whether the version may receive all requests until the time limit."""
         expected = self._final_factor * self.per_s(elapsed_s) * left_s
         return left_s > 0.0 and self._fits(expected, PLANNED_FRACTION)
 
     def find_final_budget(self, *, elapsed_s: float, left_s: float) -> float:
-        """Return the requests that may be decided on until the limit, by all."""
+        """Return the requests that all instances may admit until the time limit."""
         return FINAL_BUDGET_FACTOR * self.per_s(elapsed_s) * left_s
 
     def may_admit(
         self, *, elapsed_s: float, left_s: float, canary_share: float
     ) -> bool:
-        """Tell whether one more session may begin on the version on trial.
+        """Return whether another session may begin on the canary version.
 
-        Sessions that are let in stay there: the end must still fit after them.
+        Admitted sessions stay there, so the final phase must still fit the budget.
         """
         per_s = self.per_s(elapsed_s)
         requests = self.total.requests + per_s * left_s
@@ -292,9 +292,9 @@
         return self.total.exposed + 1.0 <= limit
 
     def is_overdrawn(self, *, elapsed_s: float, left_s: float) -> bool:
-        """Tell whether sessions on trial take so much that the bound may not hold.
+        """Return whether canary sessions use so much that the bound is at risk.
 
-        One session may get a large part of all requests, and it is not moved back.
+        A single session may send a large share of all requests and is not moved back.
         """
         expected = OVERDRAFT_RATE_FACTOR * self.per_s(elapsed_s) * left_s
         limit = self._bounds.exposure_share * (self.total.requests + expected)
@@ -302,7 +302,7 @@
         return self.total.exposed > limit
 
     def may_complete(self, *, elapsed_s: float, left_s: float) -> bool:
-        """Tell whether nothing has to be held back any more until the time limit."""
+        """Return whether all requests until the time limit fit the bound."""
         per_s = max(self.per_s(elapsed_s), self._burst_rate.per_s())
         expected = (
             max(
@@ -324,7 +324,7 @@
 
     @property
     def _final_factor(self) -> float:
-        """Give the attempts to reckon with at the end for each request expected."""
+        """Attempts to plan for each request expected in the final phase."""
         return max(FINAL_RATE_FACTOR, FINAL_ATTEMPT_FACTOR * self._attempts_per_request)
 
     @property
--- a/src/baobabthread/routing/latencies.py
+++ b/src/baobabthread/routing/latencies.py
@@ -1,23 +1,23 @@
-"""How long answers usually take, by service and model."""
+"""Latency model of the responses, by service and model."""
 
 from __future__ import annotations
 
 import msgspec
 
 SMOOTHING = 0.05
-"""Part by which the usual time follows each answer."""
+"""Weight of each response in the moving averages."""
 BASE_TOKENS = 2000
-"""Tokens that the start of any answer takes as long as, beside those of its prompt."""
+"""Fixed cost of starting any response, in prompt tokens."""
 DEFAULT_PROMPT_TOKEN_S = 0.00005
-"""Time for each of them that is assumed before any answer."""
+"""Time per prompt token that is assumed before any response."""
 UNLOADED_QUANTILE = 0.25
-"""Part of the answers that nothing hinders: their time is taken for the work itself."""
+"""Quantile of the times to the first part that is taken as the time without load."""
 QUANTILE_STEP = 0.1
-"""Step by which the time of unhindered answers follows each answer."""
+"""Relative step by which that quantile follows each response."""
 DEFAULT_TOKEN_S = 0.005
-"""Time for each token that is assumed before any answer."""
+"""Time per generated token that is assumed before any response."""
 MAX_SAMPLE_FACTOR = 4.0
-"""Times the usual that one answer counts for at most."""
+"""Limit of a single sample, as a multiple of the moving average."""
 
 
 class _Estimate(msgspec.Struct):
@@ -31,7 +31,7 @@
 
 
 class LatencyModel:
-    """Follow the time to the first part of an answer and for each token after it."""
+    """Estimates the time to the first part of a response and the time per token."""
 
     __slots__ = ("_estimates",)
 
@@ -49,12 +49,12 @@
         rest_s: float,
         tokens: int,
     ) -> None:
-        """Take in an answer that came whole."""
+        """Record a complete response."""
         estimate = self._estimates.setdefault((service, model), _Estimate())
         estimate.seen += 1
         step = max(SMOOTHING, 1.0 / estimate.seen)
         sample = first_s / (BASE_TOKENS + prompt_tokens)
-        # Most shared parts are kept, so that only the rest of a prompt is read.
+        # Most shared parts are cached, so that only the rest of a prompt is processed.
         uncached = first_s / (BASE_TOKENS + max(0, prompt_tokens - shared_tokens))
         if uncached > estimate.unloaded_token_s:
             estimate.unloaded_token_s *= 1.0 + QUANTILE_STEP * UNLOADED_QUANTILE
@@ -66,19 +66,19 @@
         estimate.token_s += step * (rest_s / max(1, tokens) - estimate.token_s)
 
     def first_s(self, service: str, model: str | None, prompt_tokens: int) -> float:
-        """Return the usual seconds to the first part of an answer to a prompt."""
+        """Return the expected seconds to the first part of a response."""
         estimate = self._estimates.get((service, model), _DEFAULT)
         return estimate.prompt_token_s * (BASE_TOKENS + prompt_tokens)
 
     def unloaded_first_s(
         self, service: str, model: str | None, prompt_tokens: int
     ) -> float:
-        """Return the seconds to the first part where nothing else is in the way."""
+        """Return the expected seconds to the first part of a response without load."""
         estimate = self._estimates.get((service, model), _DEFAULT)
         return estimate.unloaded_token_s * (BASE_TOKENS + prompt_tokens)
 
     def prefill_s(self, service: str, model: str | None, tokens: int) -> float:
-        """Return the seconds that reading so many tokens of a prompt takes."""
+        """Return the seconds to process a number of prompt tokens without load."""
         estimate = self._estimates.get((service, model), _DEFAULT)
         return estimate.unloaded_token_s * tokens
 
@@ -91,7 +91,10 @@
         tokens: int,
         min_token_s: float = 0.0,
     ) -> float:
-        """Return the usual seconds to the end of an answer, at a pace or slower."""
+        """Return the expected seconds to the end of a response.
+
+        `min_token_s` is a lower bound for the time per generated token.
+        """
         estimate = self._estimates.get((service, model), _DEFAULT)
         token_s = max(estimate.token_s, min_token_s)
         return self.first_s(service, model, prompt_tokens) + token_s * tokens
--- a/src/baobabthread/routing/lineage.py
+++ b/src/baobabthread/routing/lineage.py
@@ -1,7 +1,7 @@
-"""Which version of a service is in force beside the one that an order names.
+"""The version of a service that is in force beside the target of an order.
 
-It can't be told from what is listed: the servers of a version that was taken back stay
-there for seconds, as many as those of the version in force.
+It cannot be derived from the listed servers: those of a version that was rolled back
+stay listed for seconds, and can be as many as those of the version in force.
 """
 
 from __future__ import annotations
@@ -11,55 +11,55 @@
 
 
 class Lineage:
-    """Keep what earlier orders have left in force."""
+    """Tracks the version in force across the orders of a service."""
 
     __slots__ = ("_target", "base", "rolled_back")
 
     def __init__(self) -> None:
         self._target: str | None = None
         self.base: str | None = None
-        """The version in force beside the target, once it is known."""
+        """Version in force beside the target, once known."""
         self.rolled_back: set[str] = set()
-        """Targets of earlier orders that were taken back."""
+        """Targets of earlier orders that were rolled back."""
 
     def observe_listed(self, listed: Mapping[str, int]) -> None:
-        """Learn the version in force while just one is listed."""
+        """Update the version in force if only one version is listed."""
         if len(listed) == 1:
             self.base = next(iter(listed))
 
     def start_rollout(self, target: str) -> None:
-        """Begin with an order's target; it may be one that was taken back before."""
+        """Set the target of an order, which may have been rolled back before."""
         self._target = target
         self.rolled_back.discard(target)
 
     def end_rollout(self, target: str, *, has_succeeded: bool) -> None:
-        """Note what became of the order before."""
+        """Record the outcome of the previous order."""
         if has_succeeded:
             self.base = target
         else:
             self.rolled_back.add(target)
 
     def adopt_base(self, base: str | None) -> None:
-        """Take another instance's word where nothing is known here."""
+        """Adopt the version in force reported by a peer if none is known here."""
         if self.base is None and base != self._target:
             self.base = base
 
     def find_base(self, listed: Mapping[str, int]) -> str | None:
-        """Return the version in force, among those listed with so many servers.
+        """Return the version in force, given the number of listed servers by version.
 
-        Failure: taken for the version in force, one that was taken back gets all that
-        isn't on trial, and its failures pass for the usual ones.
+        A rolled-back version must not be returned: it would receive all traffic beside
+        the canary's, and its failures would become the baseline.
         """
         found = [v for v in listed if v != self._target and v not in self.rolled_back]
         if self.base in found:
             return self.base
-        # Nobody told of it: the one with most servers has been there for longest, and
-        # of two alike the one that was named first.
+        # None was reported: assume that the version with the most servers is the
+        # oldest, and among equals the one whose name sorts first.
         return min(found, key=lambda v: (-listed[v], _split(v)), default=None)
 
 
 def _split(version: str) -> list[tuple[int, str]]:
-    """Return a version's name in the order in which people count: v9 before v10."""
+    """Return a key for natural sorting of version names: v9 before v10."""
     return [
         (int(part), "") if part.isdigit() else (0, part)
         for part in re.split(r"(\d+)", version)
--- a/src/baobabthread/routing/progress.py
+++ b/src/baobabthread/routing/progress.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of a roll-out."""
+"""Roll-out progress that instances report to each other."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 
 class Progress(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell the other instances how far a roll-out has come at this one."""
+    """Progress of a roll-out at one instance."""
 
     service: str
     number: int
     elapsed_s: float
     share: float
     old_running: int
-    """Requests that still run on the old version."""
+    """Requests still running on the old version."""
     alarm: str | None = None
     is_suspicious: bool = False
-    """Whether the sender's bets against the version are ahead of what is usual."""
+    """Whether the sender's bets against the version exceed their usual level."""
     is_final: bool = False
-    """Whether the new version takes over all requests."""
+    """Whether the final phase, in which all requests move, has begun."""
     base: str | None = None
-    """The version that was in force before the order, as far as the sender knows."""
+    """Version in force before the order, if known to the sender."""
     has_target_servers: bool = msgspec.field(default=True, name="has_begun")
-    """Whether the sender knows servers of the new version that may take work."""
+    """Whether the sender knows servers of the new version that accept work."""
     total: Exposure = Exposure()
-    """What all have sent, as far as the sender knows."""
+    """Requests sent by all instances, as far as known to the sender."""
     admits: bool = True
-    """Whether further sessions may begin on the new version, by the leader's sums."""
+    """Whether the leader admits further sessions to the new version."""
     final_quota: float | None = msgspec.field(default=None, name="end_part")
-    """Requests that each instance may decide to send there once it takes over."""
+    """Requests that each instance may admit in the final phase."""
     state: RolloutState = RolloutState.RUNNING
--- a/src/baobabthread/routing/queues.py
+++ b/src/baobabthread/routing/queues.py
@@ -1,4 +1,4 @@
-"""Who waits for a service, in which order, and who is refused."""
+"""Queues of the requests waiting for a service, with admission and rejection."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 URGENT_RANK = 0
 LAST_INTERACTIVE_RANK = 2
 HEADROOM = 2.0
-"""Times its even part of the capacity that one instance may use: callers don't come
-evenly, and backend servers queue by priority themselves."""
+"""Multiple of its equal share of the capacity that an instance may use: callers are not
+spread evenly, and backend servers queue by priority themselves."""
 MIN_RUNNING = 8
-"""Requests that an instance may run in any case: an even part of few slots would make
-one instance wait while others leave theirs idle."""
+"""Requests that an instance may always run: with equal shares of few slots, one would
+wait while others leave theirs idle."""
 RETRY_JITTER = 0.5
-"""Part by which the times given to callers differ: they must not return together."""
+"""Maximum relative jitter of retry times, so that callers do not return together."""
 MIN_RETRY_S = 0.1
 MAX_RETRY_S = 5.0
-"""Retry time for which callers in a hurry still come back."""
+"""Upper bound of retry times; callers with urgent requests still return within it."""
 
 
 class Admission(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell whether a request may wait, and otherwise when it should come back."""
+    """Whether a request may wait, and otherwise when to retry it."""
 
     admitted: bool
     retry_after_s: float = 0.0
 
 
 class ServiceQueue:
-    """Queue the requests for one service and bound how many run from here."""
+    """Queues requests for one service and limits how many run from this instance."""
 
     __slots__ = ("_capacity", "_instances", "_queue", "running")
 
@@ -44,19 +44,19 @@
         return len(self._queue)
 
     def set_capacity(self, capacity: int, instances: int) -> None:
-        """Note what the backend servers run at once and how many instances share it."""
+        """Set the concurrency of the backend servers and the instances sharing it."""
         self._capacity = capacity
         self._instances = max(1, instances)
 
     @property
     def limit(self) -> float:
-        """Give how many requests this instance may have running."""
+        """Number of requests that this instance may run at once."""
         return max(MIN_RUNNING, HEADROOM * self._capacity / self._instances)
 
     def offer(self, waiting: Waiting, now: float, jitter: float) -> Admission:
-        """Queue a request unless it could not be served in time.
+        """Queue a request unless it cannot be served in time.
 
-        `spread` is a random number from 0 to 1.
+        `jitter` is a random number from 0 to 1 that spreads the retry times.
         """
         wait_s = self._queue.estimate_wait(waiting)
         if now + wait_s + waiting.service_s > waiting.deadline:
@@ -70,7 +70,7 @@
         return Admission(admitted=True)
 
     def pop(self, now: float) -> Waiting | None:
-        """Start the next request, if one may run."""
+        """Return the next request and count it as running, if one may run."""
         if self.running >= self.limit:
             return None
         waiting = self._queue.pop(now)
@@ -79,15 +79,15 @@
         return waiting
 
     def expire(self, now: float) -> list[Waiting]:
-        """Take out what can't be served in time any more."""
+        """Remove and return the requests that can no longer be served in time."""
         return self._queue.expire(now)
 
     def remove(self, request_id: str) -> None:
-        """Take out a request whose caller has gone."""
+        """Remove a request whose caller has disconnected."""
         self._queue.remove(request_id)
 
     def finish(self, request_id: str, tokens: int, now: float) -> None:
-        """Count the end of a request that ran."""
+        """Record the end of a running request."""
         self.running = max(0, self.running - 1)
         self._queue.finished(request_id, tokens, now)
 
@@ -97,7 +97,7 @@
 
 
 def classify(rank: int) -> Priority:
-    """Return the class of a request by its rank, 0 first."""
+    """Return the priority class for a rank, 0 being the most urgent."""
     if rank <= URGENT_RANK:
         return Priority.URGENT
     if rank <= LAST_INTERACTIVE_RANK:
--- a/src/baobabthread/routing/reasons.py
+++ b/src/baobabthread/routing/reasons.py
@@ -1,4 +1,4 @@
-"""Why a request of a session got its version of a service."""
+"""Reasons for the choice of a version."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class VersionReason(enum.StrEnum):
-    """Name why a request goes to the version that it goes to."""
+    """Reason why a request goes to its version of a service."""
 
     NO_ROLLOUT = "no-rollout"
     CANARY = "on-trial"
-    """Its session takes part in the trial of the new version."""
+    """The session is part of the canary."""
     PROMOTED = "taken-over"
-    """The new version takes over all requests, or has done so."""
+    """The new version receives all requests."""
     ROLLED_BACK = "taken-back"
-    """The new version failed its trial."""
+    """The new version was rolled back."""
     NOT_CANARY = "not-on-trial"
     KEPT = "kept"
-    """Whoever decides on its session says that it stays, or did not answer."""
+    """The session's owner keeps it on the old version or did not reply."""
     NO_PERMIT = "no-permit"
-    """Nobody has confirmed for a while that the roll-out goes on."""
+    """Neither permit nor confirmation of the roll-out is current."""
     NO_SERVER = "no-server"
-    """No backend server of the new version can take it."""
+    """No backend server of the new version can take the request."""
     STARTED_ON_OLD = "began-old"
-    """An attempt of the same request ran on the old version."""
+    """An earlier attempt of the request ran on the old version."""
--- a/src/baobabthread/routing/rollouttotals.py
+++ b/src/baobabthread/routing/rollouttotals.py
@@ -1,4 +1,4 @@
-"""What all instances have sent in each roll-out, at those that lead it."""
+"""Totals of what all instances have sent in each roll-out, kept by its leaders."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from baobabthread.routing.warmup import SenderCount
 
 ADMIT_WITHOUT_ALL_S = 3.0
-"""Time from which on sessions may begin on the new version though some instances have
-not told that they know of its servers: they would send those to the old one."""
+"""Time after which sessions may begin on the new version although some instances do not
+report its servers yet: those would send the sessions to the old version."""
 MIN_SERVING_FRACTION = 0.9
-"""Part of the instances that must serve for sessions to begin there: those that are cut
-off may have them in use."""
+"""Fraction of the instances that must be serving for sessions to begin there: instances
+that are cut off may have the sessions in use."""
 MIN_REPORTING_FRACTION = 0.5
-"""Part of the instances that must be heard before a version takes over: each of several
-groups that don't hear each other would let it take over by its own sums."""
+"""Fraction of the instances that must be reporting before a promotion. Otherwise each
+side of a network partition would promote by its own totals."""
 
 
 class RolloutTotals:
-    """Add up by order what instances tell, and how many of them do."""
+    """Sums the reports of the instances for each order and counts who reports."""
 
     __slots__ = (
         "_max_serving",
@@ -37,14 +37,14 @@
         self._serving = 1
         self._totals: dict[int, ExposureTotals] = {}
         self._max_serving: dict[int, int] = {}
-        """Most instances that served at once since an order."""
+        """Maximum number of instances serving at once since an order."""
         self._reporting: dict[int, int] = {}
-        """Other instances that have told of it."""
+        """Number of other instances that have reported on an order."""
         self._with_target_servers: dict[int, int] = {}
-        """Those of them that know servers of the new version."""
+        """Number of those that know servers of the new version."""
 
     def update_members(self, names: Sequence[str], now: float) -> None:
-        """Note which instances serve, this one included."""
+        """Update the instances that are serving, including this one."""
         self._serving = max(1, len(names))
         self._population.record(names, now)
 
@@ -54,7 +54,7 @@
         reports: Sequence[tuple[Progress, Exposure]],
         now: float,
     ) -> None:
-        """Take in the newest word of each other instance."""
+        """Apply the latest report of each other instance."""
         assert plan.order is not None
         counts = [exposure for _, exposure in reports]
         number = plan.order.number
@@ -69,7 +69,7 @@
         plan.known_exposure = totals.total
 
     def find(self, plan: VersionPlan) -> ExposureTotals:
-        """Return the sums of a plan's order."""
+        """Return the totals for the order of a plan."""
         assert plan.order is not None
         totals = self._totals.get(plan.order.number)
         if totals is None:
@@ -79,7 +79,7 @@
         return totals
 
     def may_admit(self, plan: VersionPlan, now: float) -> bool:
-        """Tell whether further sessions may begin on the new version."""
+        """Return whether further sessions may begin on the new version."""
         assert plan.order is not None
         number = plan.order.number
         if self._serving < MIN_SERVING_FRACTION * self._max_serving.get(number, 0):
@@ -94,13 +94,13 @@
         )
 
     def has_quorum(self, plan: VersionPlan, now: float) -> bool:
-        """Tell whether enough instances are heard to let the version take over."""
+        """Return whether enough instances report for the version to be promoted."""
         assert plan.order is not None
         reporting = 1 + self._reporting.get(plan.order.number, 0)
         return reporting >= MIN_REPORTING_FRACTION * self._population.count(now)
 
     def find_final_quota(self, plan: VersionPlan, now: float) -> float:
-        """Return the requests that each instance may decide on until the limit."""
+        """Return the requests that each instance may admit until the time limit."""
         requests = self.find(plan).find_final_budget(
             elapsed_s=plan.elapsed(now), left_s=plan.left_s(now)
         )
--- a/src/baobabthread/routing/starts.py
+++ b/src/baobabthread/routing/starts.py
@@ -1,16 +1,16 @@
-"""The newest start of each backend server that returns under its id."""
+"""Latest start of each backend server, to recognize outdated records."""
 
 from __future__ import annotations
 
 from baobabthread.routing.configuration import BackendRecord
 
 MAX_STARTS = 20_000
-"""Backend servers whose newest start is remembered, also after their record is gone:
-twice those of the largest deployment that is planned and those replaced in a day."""
+"""Backend servers whose latest start is kept, also after their record is removed: twice
+those of the largest planned deployment and those replaced within a day."""
 
 
 class NewestStarts:
-    """Tell word of a server's newest start from that of one before."""
+    """Distinguishes records of a server's latest start from those of earlier ones."""
 
     __slots__ = ("_newest",)
 
@@ -18,11 +18,11 @@
         self._newest: dict[str, int] = {}
 
     def record_start(self, record: BackendRecord) -> bool:
-        """Return whether this is the newest start of the server that is known.
+        """Record a start; return whether it is the latest known one of the server.
 
-        A server that starts again under its id is still named by late records of its
-        start before and by peers that are behind. Going back to those would send
-        requests with the old address or version, and take it for leaving.
+        After a restart under the same id, late records and peers that lag behind still
+        name the previous start. Reverting to it would send requests with the old
+        address or version and treat the server as leaving.
         """
         if record.started_ms < self._newest.get(record.id, 0):
             return False
--- a/src/baobabthread/routing/versions.py
+++ b/src/baobabthread/routing/versions.py
@@ -1,10 +1,10 @@
-"""Which version of a service a request goes to while traffic moves between versions.
+"""Version selection for the requests of a service during a roll-out.
 
-A version is on trial with a small share of the sessions, chosen by a hash of their
-names. One instance decides on each; what it has let onto the new version stays there
-until that is taken back, so that the sum of what the version gets is bounded where
-sessions are let in. It takes over all at once, just before the time limit: a version
-that fails only under load shows it with the last of that sum, not before.
+A canary version receives a small share of the sessions, selected by a hash of the
+session name and admitted by the session's owner. An admitted session stays on the new
+version until that is rolled back, so the total exposure is bounded at admission.
+Promotion moves all traffic at once, shortly before the time limit: a version that fails
+only under load shows it with the last part of the exposure budget, not earlier.
 """
 
 from __future__ import annotations
@@ -14,11 +14,7 @@
 from baobabthread.core.requests.attempts import draw
 from baobabthread.routing.bounds import RoutingBounds
 from baobabthread.routing.canary import CanaryAnalysis
-from baobabthread.routing.configuration import (
-    RolloutOrder,
-    RolloutState,
-    RolloutStatus,
-)
+from baobabthread.routing.configuration import RolloutOrder, RolloutState, RolloutStatus
 from baobabthread.routing.exposure import (
     Bursts,
     Exposure,
@@ -33,19 +29,19 @@
 from baobabthread.routing.progress import Progress
 
 SETTLE_S = 1.0
-"""Time after an order in which instances hand over which sessions are in use."""
+"""Time after an order during which instances exchange the sessions in use."""
 SESSION_MARGIN_S = 1.0
-"""Time on top of a session's pause for requests that end after they were counted."""
+"""Added to a session's idle time for requests that end after they were counted."""
 PROMOTION_WINDOW_FRACTION = 0.15
 MIN_PROMOTION_WINDOW_S = 1.5
-"""Time before a limit from which on a version may take over, as a part of the limit and
-at least: whoever decides on a session is asked for all of them then."""
+"""Length of the window before the time limit in which a version may be promoted, as a
+fraction of the limit and as a minimum. In it, owners are queried for all sessions."""
 PROMOTION_WINDOW_MARGIN_S = 0.5
-"""What instances may differ by in the time since the order."""
+"""Maximum difference between instances in the time elapsed since the order."""
 
 
 class VersionPlan:
-    """Choose between the versions of one service."""
+    """Selects between the versions of one service during a roll-out."""
 
     __slots__ = (
         "_final_at",
@@ -80,28 +76,28 @@
         self._started_at = 0.0
         self._target_servers = 1
         self.canary_share = 0.0
-        """Share of the sessions that the newest order's version gets on trial."""
+        """Share of the sessions that the latest order's version gets as a canary."""
         self.bursts = Bursts(canary_share=0.0, servers=1)
         self._ready_at: float | None = None
         self.permission = Permission()
         self._final_at: float | None = None
-        """When the instance that leads let the new version take over."""
+        """When the final phase began, in which the new version gets all requests."""
         self.final_budget = FinalPhaseBudget()
         self.exposure = ExposureBudget()
         self.known_exposure = Exposure()
-        """What all have sent at least, by anybody's word."""
+        """Lower bound of what all instances have sent, merged from their reports."""
         self.rate = Rate()
-        """Requests a second that this instance sends to the service."""
+        """Rate at which this instance sends requests to the service."""
         self._old_running = 0
         self.pins = SessionPins(idle_s=bounds.session_s + SESSION_MARGIN_S)
         self.served_before_order = True
-        """Whether this instance served before the order, so that it was told of the
-        sessions in use; one that started later can't decide on any."""
+        """Whether this instance served before the order and so was sent the sessions in
+        use. An instance that started later cannot decide on sessions."""
 
     def apply_order(
         self, order: RolloutOrder, now: float, *, served_before_order: bool = True
     ) -> bool:
-        """Begin with an order; return whether it is news."""
+        """Start a roll-out; return whether the order is newer than the current one."""
         if self.order is not None and order.number <= self.order.number:
             return False
         if self.order is not None:
@@ -132,10 +128,9 @@
         return True
 
     def is_unproven(self, version: str) -> bool:
-        """Tell whether a version is on trial, or was taken back.
+        """Return whether a version is a canary or was rolled back.
 
-        Failure: word of crashes that comes after a version was taken back was held
-        against the requests, and good ones were refused for minutes.
+        Late crash reports blamed on requests would get good ones rejected for minutes.
         """
         if version in self.lineage.rolled_back:
             return True
@@ -143,23 +138,23 @@
         return is_target and self.state is not RolloutState.SUCCEEDED
 
     def update_versions(self, listed: Mapping[str, int]) -> None:
-        """Learn which version is in force before any order."""
+        """Update the version in force from the listed servers, before any order."""
         if self.order is None:
             self.lineage.observe_listed(listed)
 
     def apply_status(self, status: RolloutStatus, now: float) -> None:
-        """Take over what the store or the conductor says of the present order."""
+        """Apply the status of the current order, from the store or its writer."""
         if self.order is None or status.target != self.order.target:
             return
         if status.number not in (0, self.order.number):
             return
         if self.state is RolloutState.RUNNING:
             self.state = status.state
-            # A restarted instance begins to count at its start; the record knows more.
+            # The record goes back further than the start of a restarted instance.
             self._started_at = min(self._started_at, now - status.elapsed_s)
 
     def apply_progress(self, progress: Progress, now: float) -> None:
-        """Take in how far another instance is."""
+        """Apply the progress reported by another instance."""
         if self.order is None or progress.number != self.order.number:
             return
         self._started_at = min(self._started_at, now - progress.elapsed_s)
@@ -169,7 +164,7 @@
             self.analysis.alarm = progress.alarm
 
     def apply_verdict(self, progress: Progress, now: float) -> None:
-        """Take in what the instance concludes that hears of all answers."""
+        """Apply the verdict of the leader, which receives all evidence."""
         self.apply_progress(progress, now)
         is_current = self.order is not None and progress.number == self.order.number
         if is_current and progress.is_final:
@@ -178,7 +173,7 @@
             self.state = progress.state
 
     def update_target(self, *, usable: bool, now: float, servers: int = 1) -> None:
-        """Note whether backend servers of the new version may take work, how many."""
+        """Update whether the new version has usable backend servers, and how many."""
         if servers != self._target_servers:
             self._target_servers = servers
             self.bursts = Bursts(canary_share=self.canary_share, servers=servers)
@@ -189,17 +184,17 @@
 
     @property
     def has_target_servers(self) -> bool:
-        """Tell whether backend servers of the new version may take work."""
+        """Whether the new version has backend servers that accept work."""
         return self._ready_at is not None
 
     @property
     def is_running(self) -> bool:
-        """Tell whether a roll-out is under way."""
+        """Whether a roll-out is in progress."""
         return self.order is not None and self.state is RolloutState.RUNNING
 
     @property
     def is_reverted(self) -> bool:
-        """Tell whether the newest order's version was taken back."""
+        """Whether the latest order's version was rolled back."""
         return self.state is RolloutState.REVERTED
 
     def elapsed(self, now: float) -> float:
@@ -207,7 +202,7 @@
         return max(0.0, now - self._started_at)
 
     def share(self, now: float) -> float:
-        """Return the part of the sessions that goes to the new version."""
+        """Return the share of the sessions that go to the new version, 0 to 1."""
         order = self.order
         if order is None or self.state is RolloutState.REVERTED:
             return 0.0
@@ -222,27 +217,27 @@
         return self.canary_share
 
     def permit(self, *, requested_at: float, admits: bool = True) -> None:
-        """Go on with the trial: the one that leads knows all that was known then here.
+        """Renew the leader's permit, which covers all evidence sent before the request.
 
-        Failure: an instance that is cut from the others, but not from the store, goes
-        on with a version that they have taken back, and nobody hears what it sees.
+        Without permits, an instance cut off from its peers but not from the store would
+        keep using a version that they rolled back, and its evidence would be lost.
         """
         self.permission.permit(requested_at=requested_at, admits=admits)
 
     def may_stay(self, now: float) -> bool:
-        """Tell whether requests of sessions on the new version may still go there."""
+        """Return whether sessions on the new version may still send requests there."""
         if not self.is_running or self.analysis.alarm is not None:
             return False
         return self._ready_at is not None and self.permission.left_s(now) > 0.0
 
     def is_in_promotion_window(self, now: float) -> bool:
-        """Tell whether the new version may take over in a moment, or has done so."""
+        """Return whether promotion may be imminent or has already happened."""
         window_s = self.promotion_window_s + PROMOTION_WINDOW_MARGIN_S
         return self.is_running and (self.is_final or self.left_s(now) <= window_s)
 
     @property
     def promotion_window_s(self) -> float:
-        """Give the time before the limit from which on it may take over."""
+        """Seconds before the time limit from which the version may be promoted."""
         assert self.order is not None
         return max(
             MIN_PROMOTION_WINDOW_S, PROMOTION_WINDOW_FRACTION * self.order.time_limit_s
@@ -250,13 +245,13 @@
 
     @property
     def is_final(self) -> bool:
-        """Tell whether the new version takes over all requests, or has done so."""
+        """Whether the final phase, in which all requests move, has begun."""
         return self._final_at is not None or (
             self.order is not None and self.state is RolloutState.SUCCEEDED
         )
 
     def begin_final_phase(self, now: float, *, quota: float | None = None) -> None:
-        """Let the new version take over; `part` bounds what is decided on here."""
+        """Begin the final phase; `quota` bounds the requests admitted here."""
         if self._final_at is None:
             self._final_at = now
             self.final_budget = FinalPhaseBudget(quota=quota)
@@ -264,9 +259,9 @@
             self.exposure.begin_final_phase(self.rate.per_s() * self.left_s(now))
 
     def try_expose(self, session: str | None, now: float) -> bool:
-        """Take an attempt at the new version out of what it may get, if any is left.
+        """Reserve an attempt on the new version; return whether the budget allows it.
 
-        Sessions were let in before; what follows is only counted.
+        Sessions were admitted earlier, so their attempts are only counted.
         """
         if session is None and self.is_running and self.left_s(now) > 0.0:
             return self.exposure.try_reserve(self.canary_share)
@@ -274,18 +269,18 @@
         return True
 
     def ready_s(self, now: float) -> float:
-        """Return the seconds since servers of the new version may take work."""
+        """Return the seconds since the new version first had usable servers."""
         return now - self._ready_at if self._ready_at is not None else 0.0
 
     def left_s(self, now: float) -> float:
-        """Return the seconds that are left of the order's time limit."""
+        """Return the seconds left until the order's time limit."""
         assert self.order is not None
         return max(0.0, self.order.time_limit_s - self.elapsed(now))
 
     def choose(self, session: str, now: float) -> bool:
-        """Return whether a session that begins now is one for the new version.
+        """Return whether a session that begins now is selected for the new version.
 
-        Where `is_contested` holds, the instance that decides on the session must agree.
+        Where `needs_owner_decision` holds, the owner of the session must agree.
         """
         share = self.share(now)
         return share >= 1.0 or (share > 0.0 and self._is_selected(session, share))
@@ -300,39 +295,39 @@
 
     @property
     def is_canary_phase(self) -> bool:
-        """Tell whether the new version gets no more than its part for the trial."""
+        """Whether the new version is limited to the canary share."""
         return self.is_running and not self.is_final
 
     def needs_owner_decision(self, session: str, now: float) -> bool:
-        """Tell whether whoever decides on a session must be asked for its version."""
+        """Return whether the owner of a session must be queried for its version."""
         if not self.is_running or not self.has_target_servers:
             return False
         return self.is_in_promotion_window(now) or self.may_join_canary(session)
 
     def may_join_canary(self, session: str) -> bool:
-        """Tell whether the trial may move a session, now or once it has settled."""
+        """Return whether a session may move to the canary, now or after settling."""
         is_early = self.is_running and self._final_at is None
         return is_early and self.is_in_canary_share(session)
 
     def is_in_canary_share(self, session: str) -> bool:
-        """Tell whether a session is one of those that the trial may move."""
+        """Return whether a session is selected for the canary share."""
         return self._is_selected(session, self.canary_share)
 
     def knows_sessions_in_use(self, now: float) -> bool:
-        """Tell whether this instance has heard all along which sessions are in use."""
+        """Return whether this instance has seen the sessions in use without a gap."""
         informed_s = now - self.permission.renewed_at
         return self.served_before_order and informed_s >= self.pins.idle_s
 
     def may_have_moved(self, session: str) -> bool:
-        """Tell whether a session may be on the new version by now."""
+        """Return whether a session may be on the new version by now."""
         return self.is_final or self.may_join_canary(session)
 
     def decide(self, session: str, now: float) -> bool:
-        """Return for all instances whether a contested session moves.
+        """Return whether a session moves to the new version; called on its owner.
 
-        One instance decides on each session, so that two requests in the same moment
-        get the same answer. A session in use stays where it is for the first half: its
-        caller would get another version in the middle of a conversation.
+        A single owner decides, so that simultaneous requests get the same version.
+        Before the final phase a session in use stays on the old version, so that it
+        does not change in the middle of a conversation.
         """
         if not self.is_running or self.analysis.alarm is not None:
             return self.state is RolloutState.SUCCEEDED
@@ -360,29 +355,29 @@
         return True
 
     def is_past_half(self, now: float) -> bool:
-        """Tell whether sessions in use may change to the new version as well."""
+        """Return whether sessions in use may move to the new version as well."""
         assert self.order is not None
         return self.left_s(now) < self.order.time_limit_s / 2 - SESSION_MARGIN_S
 
     def list_session_ages(self, now: float) -> dict[str, float]:
-        """Return the sessions seen here whose turn may come, and how long ago."""
+        """Return the canary candidates seen here, with seconds since last use."""
         if self.order is None:
             return {}
         seen = self.pins.list_old(now).items()
         return {s: round(now - at, 2) for s, at in seen if self.is_in_canary_share(s)}
 
     def record_old_started(self, session: str, now: float) -> None:
-        """Count a request of a session that goes to the old version."""
+        """Record the start of a session's request on the old version."""
         self._old_running += 1
         self.pins.record_old_started(session, now)
 
     def record_old_ended(self, session: str, now: float) -> None:
-        """Count the end of a request on the old version."""
+        """Record the end of a session's request on the old version."""
         self._old_running = max(0, self._old_running - 1)
         self.pins.record_old_ended(session, now)
 
     def progress(self, now: float) -> Progress | None:
-        """Return what to tell the others, while a roll-out is under way."""
+        """Return the progress to report to the others while a roll-out runs."""
         if self.order is None or self.state is not RolloutState.RUNNING:
             return None
         return Progress(
