--- a/tests/routing/rollouts.py
+++ b/tests/routing/rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs as the tests of versions, trials and judgment begin them."""
+"""Helpers to start roll-outs in the tests of versions, canaries and evaluation."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 
 
 def observe_responses(plan: VersionPlan, *, bad: int = 0, seen: int = 60) -> None:
-    """Let the trial see answers of both versions; so many of the new one fail.
+    """Record responses of both versions, of which `bad` of the new one failed.
 
-    They lie apart, so that the bets take none of them for a row.
+    The failures are spread evenly, so that the bets see no cluster.
     """
     for _ in range(200):
         observe_latency(plan.analysis, 0.1, is_canary=False)
--- a/tests/routing/test_evaluation.py
+++ b/tests/routing/test_evaluation.py
@@ -1,4 +1,4 @@
-"""Tests of when a version takes over, and how a roll-out ends."""
+"""Tests of promotion and of the outcome of roll-outs."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 
 LATE_S = LIMIT_S - find_completion_s(LIMIT_S) + 0.01
-"""Time from which on a version that has taken over succeeds whatever still runs."""
+"""Time from which a promoted version succeeds even if old requests still run."""
 
 
 FEW = Exposure(requests=2000, exposed=100)
@@ -47,22 +47,22 @@
     return evaluate_rollout(plan, others, members, now, totals=make_totals())
 
 
-def test_stop_at_once_on_an_alarm_of_another_instance() -> None:
+def test_alarm_of_another_instance_rolls_back_at_once() -> None:
     plan = begin_rollout()
     plan.begin_final_phase(13.0)
     assert count_new(plan, 13.5) == len(SESSIONS)
-    word = Progress(
+    report = Progress(
         service="s", number=1, elapsed_s=13.0, share=0.3, old_running=0, alarm="errors"
     )
-    plan.apply_progress(word, 13.6)
+    plan.apply_progress(report, 13.6)
     assert count_new(plan, 13.7) == 0
     assert evaluate(plan, [], 0, 13.7) is RolloutState.REVERTED
 
 
-def test_succeed_when_nothing_runs_on_the_old_version_anywhere() -> None:
-    """The old version is stopped without draining when this is written.
+def test_success_requires_that_nothing_runs_on_the_old_version() -> None:
+    """Success stops the old version without draining.
 
-    An instance that still streams from it would see its callers cut.
+    Streams that still run on it at any instance would be cut.
     """
     plan = begin_rollout()
     observe_responses(plan)
@@ -78,7 +78,7 @@
     assert evaluate(plan, [done], 1, now) is RolloutState.SUCCEEDED
 
 
-def test_end_before_the_time_limit_though_something_runs_on() -> None:
+def test_complete_before_the_time_limit_with_requests_running() -> None:
     plan = begin_rollout()
     observe_responses(plan)
     plan.begin_final_phase(LATE_S - 1.0)
@@ -87,10 +87,11 @@
     assert evaluate(plan, [busy], 1, LATE_S) is RolloutState.SUCCEEDED
 
 
-def test_end_no_sooner_than_what_comes_until_the_limit_is_bounded() -> None:
-    """A lull lets the new version take over early, and then callers come back.
+def test_completion_waits_until_the_remaining_exposure_is_bounded() -> None:
+    """The version is promoted early, in a lull, after which the load returns.
 
-    Ended in the lull, the old version would be gone and nothing left to hold back with.
+    Completed in the lull, the old version would be stopped and could not take the
+    requests that exceed the bound.
     """
     plan = begin_rollout()
     observe_responses(plan)
@@ -99,11 +100,11 @@
     assert evaluate(plan, [], 0, LATE_S) is RolloutState.SUCCEEDED
 
 
-def test_take_over_only_when_the_bound_lasts_to_the_limit() -> None:
-    """A version that fails only under load passes a trial with few requests.
+def test_promotion_requires_budget_until_the_time_limit() -> None:
+    """A version that fails only under load passes as a canary with few requests.
 
-    Given all of them by the clock, it has had half of the service's requests before
-    anybody knows.
+    Promoted at a fixed time, it would receive half of the service's requests before its
+    faults are known.
     """
     plan = begin_rollout()
     observe_responses(plan)
@@ -115,8 +116,8 @@
     assert not may_promote(plan, LIMIT_S)
 
 
-def test_take_over_nothing_while_answers_are_missing() -> None:
-    """The instance that leads hears of no answer, or the version gives none."""
+def test_no_promotion_while_responses_are_missing() -> None:
+    """The leader learns of no responses, or the version gives none."""
     plan = begin_rollout()
     assert not may_promote(plan, LIMIT_S - 0.5)
     observe_responses(plan)
@@ -126,14 +127,14 @@
     assert not may_promote(fresh, LIMIT_S - 0.5)
 
 
-def test_take_back_what_could_not_take_over_in_time() -> None:
+def test_version_not_promoted_in_time_is_rolled_back() -> None:
     plan = begin_rollout()
     assert evaluate(plan, [], 0, LIMIT_S - 0.1) is RolloutState.RUNNING
     assert evaluate(plan, [], 0, LIMIT_S + 0.1) is RolloutState.REVERTED
 
 
-def test_hold_a_suspected_version_on_trial() -> None:
-    """Six of sixty answers fail: too few for an alarm, too many to go on."""
+def test_suspicious_version_is_not_promoted() -> None:
+    """Six of sixty responses fail: too few for an alarm, too many for promotion."""
     plan = begin_rollout()
     observe_responses(plan, bad=6)
     assert plan.analysis.alarm is None
@@ -141,8 +142,8 @@
     assert not may_promote(plan, LIMIT_S - 0.5)
 
 
-def test_hold_a_version_that_has_only_failed() -> None:
-    """Two requests came to a version that crashes under everything, and both failed."""
+def test_version_with_only_failures_is_not_promoted() -> None:
+    """A version that crashes on every request received two, and both failed."""
     plan = begin_rollout()
     observe_responses(plan, bad=1, seen=1)
     assert not plan.analysis.looks_worse
@@ -151,11 +152,11 @@
     assert not may_promote(plan, LIMIT_S - 0.5)
 
 
-def test_revert_what_shows_its_faults_only_with_all_of_the_traffic() -> None:
-    """Under load one answer in ten fails, in the last second before the limit.
+def test_failures_in_the_final_phase_roll_back() -> None:
+    """One response in ten fails under load, in the last second before the limit.
 
-    Written as succeeded then, the old version would be stopped, and every caller left
-    with the bad one.
+    If the roll-out succeeded, the old version would be stopped and all callers would be
+    left with the bad one.
     """
     plan = begin_rollout()
     observe_responses(plan)
--- a/tests/routing/test_exposure.py
+++ b/tests/routing/test_exposure.py
@@ -1,4 +1,4 @@
-"""Tests of what a version on trial may get from all instances, whatever each knows."""
+"""Tests of the exposure budget of a canary version over all instances."""
 
 from __future__ import annotations
 
@@ -33,19 +33,19 @@
 SHARES = (0.02, 0.05, 0.85 * BOUNDS.exposure_share)
 
 
-def test_let_each_instance_spend_only_what_it_earned() -> None:
+def test_each_instance_spends_only_what_its_requests_earn() -> None:
     budget = ExposureBudget()
     assert budget.try_reserve(0.1)
     assert not budget.try_reserve(0.1)
     for _ in range(100):
         budget.count_request()
-    taken = sum(budget.try_reserve(0.1) for _ in range(100))
-    assert taken + 1 <= math.ceil(0.1 * 100 + 0.1)
+    reserved = sum(budget.try_reserve(0.1) for _ in range(100))
+    assert reserved + 1 <= math.ceil(0.1 * 100 + 0.1)
     assert budget.try_reserve(0.12)
     assert not budget.try_reserve(0.05)
 
 
-def test_give_back_what_was_not_sent() -> None:
+def test_release_of_an_attempt_that_was_not_sent() -> None:
     budget = ExposureBudget()
     assert budget.try_reserve(0.1)
     budget.release()
@@ -57,22 +57,24 @@
 
 @pytest.mark.parametrize("share", [0.05, 0.0975, 0.15, 0.3])
 @pytest.mark.parametrize("limit_s", [4.0, 8.0, 14.0, 24.0, 600.0])
-def test_leave_enough_of_the_bound_for_the_end(share: float, limit_s: float) -> None:
+def test_canary_share_leaves_budget_for_the_final_phase(
+    share: float, limit_s: float
+) -> None:
     bounds = RoutingBounds(exposure_share=share)
-    trial = find_canary_share(bounds, limit_s)
-    assert 0.15 * share <= trial <= 0.6 * share
+    canary_share = find_canary_share(bounds, limit_s)
+    assert 0.15 * share <= canary_share <= 0.6 * share
 
 
-def test_let_little_more_than_the_usual_rate_go_there_at_the_end() -> None:
-    """A burst comes in the second in which the new version takes over."""
+def test_final_phase_admits_little_more_than_the_usual_rate() -> None:
+    """A burst comes in the second in which the new version is promoted."""
     budget = ExposureBudget()
     budget.begin_final_phase(14.0)
     assert 14 <= sum(budget.try_reserve(0.1) for _ in range(100)) <= 24
 
 
 @pytest.mark.parametrize("servers", [1, 2, 3, 5, 9, 45, 63])
-def test_load_the_few_servers_on_trial_as_all_would_be(servers: int) -> None:
-    """A version that fails under load passes a trial that never loads a server."""
+def test_bursts_load_the_canary_servers_as_all_traffic_would(servers: int) -> None:
+    """A version that fails under load passes as a canary that never loads a server."""
     bursts = Bursts(canary_share=0.06, servers=servers)
     full = 1.0 / servers
     each = bursts.share / bursts.burst_servers
@@ -81,7 +83,7 @@
     assert on * bursts.share == pytest.approx(0.06, rel=0.1)
 
 
-def test_measure_the_present_rate() -> None:
+def test_rate_follows_the_current_window() -> None:
     rate = Rate()
     assert rate.per_s() == 0.0
     for second in range(20):
@@ -96,8 +98,8 @@
     return totals
 
 
-def test_know_what_others_have_added_up() -> None:
-    """One that began to lead in the end ended it by sums that lacked half of all."""
+def test_totals_include_those_known_to_other_instances() -> None:
+    """A new leader's own totals lacked half of the requests in the final phase."""
     totals = ExposureTotals(bounds=BOUNDS)
     known = Exposure(requests=3000, exposed=460, attempts=4000)
     totals.record([Exposure(requests=1600, exposed=170, attempts=2100)], 10.0)
@@ -107,7 +109,7 @@
     assert not totals.may_promote(elapsed_s=14.0, left_s=0.2)
 
 
-def test_take_over_only_what_the_sum_bears() -> None:
+def test_promotion_requires_remaining_budget() -> None:
     totals = make_totals(requests=1000, exposed=50)
     assert totals.per_s(14.0) == pytest.approx(1000 / 14)
     assert totals.may_promote(elapsed_s=14.0, left_s=1.0)
@@ -117,69 +119,69 @@
     assert not totals.may_promote(elapsed_s=14.0, left_s=0.0)
 
 
-def test_count_attempts_for_the_end_where_requests_are_asked_again() -> None:
-    """A third of the requests is asked again of a larger model, also at the end."""
+def test_promotion_accounts_for_repeated_attempts() -> None:
+    """A third of the requests is sent to a larger model again, also at the end."""
     totals = make_totals(requests=1000, exposed=50)
     assert totals.may_promote(elapsed_s=14.0, left_s=1.1)
-    twice = ExposureTotals(bounds=BOUNDS)
-    twice.record([Exposure(requests=1000, exposed=50, attempts=1500)], 10.0)
-    assert not twice.may_promote(elapsed_s=14.0, left_s=1.1)
+    retried = ExposureTotals(bounds=BOUNDS)
+    retried.record([Exposure(requests=1000, exposed=50, attempts=1500)], 10.0)
+    assert not retried.may_promote(elapsed_s=14.0, left_s=1.1)
 
 
-def test_let_sessions_in_while_the_end_still_fits() -> None:
+def test_admit_sessions_while_the_final_phase_fits() -> None:
     def admits(exposed: int, left_s: float = 7.0) -> bool:
         totals = make_totals(requests=1000, exposed=exposed)
         return totals.may_admit(elapsed_s=14.0, left_s=left_s, canary_share=0.09)
 
     assert admits(90)
     assert not admits(110)
-    # With less time ahead, less is earned before the end.
+    # With less time left, less budget is earned before the final phase.
     assert not admits(90, left_s=0.0)
 
 
-def test_let_nobody_in_before_a_whole_attempt_is_earned() -> None:
+def test_no_admission_before_a_whole_attempt_is_earned() -> None:
     totals = make_totals(requests=10, exposed=0)
     assert not totals.may_admit(elapsed_s=1.0, left_s=23.0, canary_share=0.06)
     totals = make_totals(requests=15, exposed=0)
     assert totals.may_admit(elapsed_s=1.0, left_s=23.0, canary_share=0.06)
 
 
-def test_notice_sessions_that_take_too_much() -> None:
-    """A session on trial turns hot: it gets a large part of all requests."""
+def test_hot_session_overdraws_the_budget() -> None:
+    """A canary session becomes hot and sends a large share of all requests."""
     calm = make_totals(requests=1000, exposed=90)
     assert not calm.is_overdrawn(elapsed_s=14.0, left_s=10.0)
     hot = make_totals(requests=1000, exposed=240)
     assert hot.is_overdrawn(elapsed_s=14.0, left_s=10.0)
 
 
-def test_end_nothing_while_a_burst_has_just_begun() -> None:
-    """Callers press beyond the usual in the last second of a roll-out.
+def test_no_completion_while_a_burst_begins() -> None:
+    """The load exceeds the usual in the last second of a roll-out.
 
-    With the old version stopped all of them would meet the new one.
+    With the old version stopped, all of it would reach the new one.
     """
     calm = make_totals(requests=1000, exposed=80, rate=70.0)
-    pressed = make_totals(requests=1000, exposed=80, rate=300.0)
+    loaded = make_totals(requests=1000, exposed=80, rate=300.0)
     assert calm.may_complete(elapsed_s=14.0, left_s=0.5)
-    assert not pressed.may_complete(elapsed_s=14.0, left_s=0.5)
-    assert pressed.may_complete(elapsed_s=14.0, left_s=0.15)
+    assert not loaded.may_complete(elapsed_s=14.0, left_s=0.5)
+    assert loaded.may_complete(elapsed_s=14.0, left_s=0.15)
 
 
 @given(
-    lives=st.lists(
+    share_lists=st.lists(
         st.lists(st.sampled_from(SHARES), max_size=60),
         min_size=1,
         max_size=28,
     )
 )
-def test_keep_the_sum_over_instances_that_know_nothing_of_each_other(
-    lives: list[list[float]],
+def test_bound_holds_for_instances_that_know_nothing_of_each_other(
+    share_lists: list[list[float]],
 ) -> None:
-    """Seven instances start four times each and send all they may to a bad version."""
+    """Seven instances start four times each and spend all they may on a bad version."""
     requests = exposed = 0
-    for life in lives:
+    for shares in share_lists:
         budget = ExposureBudget()
-        for part in life:
-            if budget.try_reserve(part):
+        for share in shares:
+            if budget.try_reserve(share):
                 budget.spend()
             budget.count_request()
         report = budget.report()
@@ -189,29 +191,29 @@
 
 
 class MemberView(msgspec.Struct):
-    """Hold what one instance knows and lives through."""
+    """State of one simulated instance and the faults that it meets."""
 
     plan: VersionPlan
     sessions: list[str] = []
-    deaf_from: float = 1e9
-    """From here to `deaf_until` it hears nobody and nobody hears it."""
-    deaf_until: float = 1e9
+    partitioned_from: float = 1e9
+    """It is partitioned from all others from here to `partitioned_until`."""
+    partitioned_until: float = 1e9
     frozen_from: float = 1e9
     frozen_until: float = 1e9
     starts: list[float] = []
-    """When it starts anew."""
+    """Times at which it restarts."""
 
-    def hears(self, now: float) -> bool:
-        return not self.deaf_from <= now < self.deaf_until
+    def is_connected(self, now: float) -> bool:
+        return not self.partitioned_from <= now < self.partitioned_until
 
     def is_frozen(self, now: float) -> bool:
         return self.frozen_from <= now < self.frozen_until
 
 
 class RolloutSimulation:
-    """Play one roll-out of requests without sessions among differing instances.
+    """Simulates a roll-out for requests without sessions, under faults of instances.
 
-    Sessions are decided on by messages: see `tests/bench/test_rollouts.py`.
+    Sessions are decided by messages: see `tests/bench/test_rollouts.py`.
     """
 
     def __init__(self, *, count: int, limit_s: float, rate: float, seed: int) -> None:
@@ -232,25 +234,25 @@
     def _make_view(self) -> MemberView:
         rng, limit = self.rng, self.limit_s
         view = MemberView(plan=self._make_plan(rng.choice((0.05, 0.3, 1.5))))
-        trouble = rng.choice(("none", "deaf", "alone", "frozen", "restarts"))
-        if trouble == "deaf":
-            view.deaf_from = rng.uniform(0.0, limit)
-            view.deaf_until = view.deaf_from + rng.uniform(1.0, 8.0)
-        elif trouble == "alone":
-            view.deaf_from = 0.0
-        elif trouble == "frozen":
+        fault = rng.choice(("none", "partitioned", "isolated", "frozen", "restarts"))
+        if fault == "partitioned":
+            view.partitioned_from = rng.uniform(0.0, limit)
+            view.partitioned_until = view.partitioned_from + rng.uniform(1.0, 8.0)
+        elif fault == "isolated":
+            view.partitioned_from = 0.0
+        elif fault == "frozen":
             view.frozen_from = rng.uniform(0.0, limit)
             view.frozen_until = view.frozen_from + rng.uniform(1.0, 6.0)
-        elif trouble == "restarts":
+        elif fault == "restarts":
             first = rng.uniform(0.0, limit)
             view.starts = [first, first + 2.5, first + 5.0]
         return view
 
     def _make_plan(
-        self, learnt_at: float, elapsed_s: float | None = None
+        self, applied_at: float, elapsed_s: float | None = None
     ) -> VersionPlan:
         plan = VersionPlan(service="s", bounds=BOUNDS)
-        plan.apply_order(self.order, learnt_at, served_before_order=elapsed_s is None)
+        plan.apply_order(self.order, applied_at, served_before_order=elapsed_s is None)
         if elapsed_s is not None:
             status = RolloutStatus(
                 service="s",
@@ -259,18 +261,18 @@
                 number=1,
                 elapsed_s=elapsed_s,
             )
-            plan.apply_status(status, learnt_at)
+            plan.apply_status(status, applied_at)
         return plan
 
-    def play(self) -> None:
+    def run(self) -> None:
         now = 0.0
         while now + STEP_S < self.limit_s:
             now += STEP_S
             for index, view in enumerate(self.views):
-                self._live(index, view, now)
+                self._step(index, view, now)
             self._lead(now)
 
-    def _live(self, index: int, view: MemberView, now: float) -> None:
+    def _step(self, index: int, view: MemberView, now: float) -> None:
         if view.starts and now >= view.starts[0]:
             view.starts.pop(0)
             view.plan = self._make_plan(now, elapsed_s=now)
@@ -284,7 +286,7 @@
         for _ in range(int(count + self.rng.random())):
             self._send(view, now)
         plan.rate.record(plan.exposure.report().requests, now)
-        if view.hears(now):
+        if view.is_connected(now):
             self.counted[id(plan)] = plan.exposure.report()
 
     def _send(self, view: MemberView, now: float) -> None:
@@ -302,10 +304,12 @@
             plan.exposure.count_request()
 
     def _lead(self, now: float) -> None:
-        hearing = [v for v in self.views if v.hears(now) and not v.is_frozen(now)]
-        if not hearing:
+        connected = [
+            v for v in self.views if v.is_connected(now) and not v.is_frozen(now)
+        ]
+        if not connected:
             return
-        leader = hearing[0].plan
+        leader = connected[0].plan
         self.totals.record(self.counted.values(), now)
         for _ in range(2):
             leader.analysis.observe_response(
@@ -315,7 +319,7 @@
             leader.begin_final_phase(now)
         if leader.is_running:
             self.state = evaluate_rollout(leader, [], 0, now, totals=self.totals)
-        for view in hearing:
+        for view in connected:
             view.plan.permit(requested_at=now)
             progress = leader.progress(now)
             if progress is not None:
@@ -329,18 +333,18 @@
 
 @pytest.mark.parametrize("limit_s", [8.0, 14.0, 24.0])
 @pytest.mark.parametrize("count", [1, 6, 59, 195])
-def test_keep_a_bad_version_within_its_part_under_any_views(
+def test_exposure_of_a_bad_version_stays_within_the_bound(
     count: int, limit_s: float
 ) -> None:
-    """Nobody finds the version bad, and some don't hear the others.
+    """The version is not found bad, and some instances are partitioned or fail.
 
-    They are cut off, alone from the start, frozen, or started three times, with a burst
-    at any moment. What it gets until the time limit stays within the bound.
+    They are partitioned for a while or from the start, frozen, or restarted three
+    times, with a burst at a random time.
     """
     for seed in range(12):
         rollout = RolloutSimulation(
             count=count, limit_s=limit_s, rate=120.0 / count, seed=seed
         )
-        rollout.play()
+        rollout.run()
         allowed = BOUNDS.exposure_share * rollout.requests + BOUNDS.exposure_extra
         assert rollout.exposed <= allowed, f"seed {seed}"
--- a/tests/routing/test_models.py
+++ b/tests/routing/test_models.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of models and of the pace that they are expected to have."""
+"""Tests of the choice of models and of the latency model."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("index", "confidence", "follows"),
+    ("index", "confidence", "expected"),
     [
         (0, 0.9, None),
         (0, 0.55, 1),
@@ -30,28 +30,28 @@
         (2, 0.0, None),
     ],
 )
-def test_ask_a_larger_model_by_confidence(
-    index: int, confidence: float | None, follows: int | None
+def test_escalate_by_confidence(
+    index: int, confidence: float | None, expected: int | None
 ) -> None:
-    assert escalate(index, confidence) == follows
+    assert escalate(index, confidence) == expected
 
 
-def test_have_nothing_beyond_the_last_model() -> None:
+def test_no_escalation_beyond_the_last_model() -> None:
     assert escalate(0, 0.0, count=1) is None
     assert escalate(0, 0.55, count=2) == 1
     assert MODEL_CHOICES.get("largest").choose_first(3) == 2
 
 
-def test_name_the_choices_there_are() -> None:
+def test_unknown_choice_lists_the_known_ones() -> None:
     with pytest.raises(UsageError, match="no model choice 'cheapest'") as caught:
         MODEL_CHOICES.get("cheapest")
     assert "largest, staged" in caught.value.remedy
 
 
-def test_learn_how_long_answers_take() -> None:
-    pace = LatencyModel()
+def test_latency_model_follows_responses() -> None:
+    latencies = LatencyModel()
     for _ in range(100):
-        pace.observe(
+        latencies.observe(
             "s",
             "m",
             prompt_tokens=8000,
@@ -60,18 +60,18 @@
             rest_s=2.0,
             tokens=100,
         )
-    assert pace.first_s("s", "m", 8000) == pytest.approx(1.0, rel=0.1)
-    assert pace.first_s("s", "m", 0) < 0.3
-    assert pace.total_s("s", "m", prompt_tokens=8000, tokens=100) == pytest.approx(
+    assert latencies.first_s("s", "m", 8000) == pytest.approx(1.0, rel=0.1)
+    assert latencies.first_s("s", "m", 0) < 0.3
+    assert latencies.total_s("s", "m", prompt_tokens=8000, tokens=100) == pytest.approx(
         3, rel=0.1
     )
 
 
-def test_bear_a_few_stuck_answers() -> None:
-    pace = LatencyModel()
+def test_few_stuck_responses_barely_change_the_latency_model() -> None:
+    latencies = LatencyModel()
     for number in range(200):
         first_s = 30.0 if number % 20 == 0 else 0.1
-        pace.observe(
+        latencies.observe(
             "s",
             None,
             prompt_tokens=0,
@@ -80,11 +80,11 @@
             rest_s=0.0,
             tokens=1,
         )
-    assert pace.first_s("s", None, 0) < 0.3
+    assert latencies.first_s("s", None, 0) < 0.3
 
 
 @pytest.mark.parametrize(
-    ("confidence", "spare", "chosen"),
+    ("confidence", "spare", "expected"),
     [
         (0.5, 1.0, 1),
         (0.5, 0.3, 1),
@@ -97,20 +97,20 @@
         (0.1, -3.0, 2),
     ],
 )
-def test_accept_more_where_a_larger_answer_comes_late(
-    confidence: float, spare: float, chosen: int | None
+def test_accept_lower_confidence_if_a_larger_model_would_be_late(
+    confidence: float, spare: float, expected: int | None
 ) -> None:
-    """Engines are behind: a quarter of them was taken away at the peak.
+    """Engines are overloaded after a quarter of them was removed at the peak.
 
-    Each doubtful answer that is asked of a large model takes ten times the work of a
-    small one and comes too late; all others wait for it and are late as well.
+    Each doubtful response that is escalated costs ten times the work of a small model
+    and comes too late, and the requests that wait for it are late as well.
     """
-    question = PendingResponse(count=3, index=0, confidence=confidence, spare=spare)
-    assert MODEL_CHOICES.get("staged").escalate(question) == chosen
+    response = PendingResponse(count=3, index=0, confidence=confidence, spare=spare)
+    assert MODEL_CHOICES.get("staged").escalate(response) == expected
 
 
 @pytest.mark.parametrize(
-    ("confidence", "price", "chosen"),
+    ("confidence", "cost", "expected"),
     [
         (0.3, 0.0, 2),
         (0.3, 0.05, 2),
@@ -122,33 +122,33 @@
         (0.5, 0.5, None),
     ],
 )
-def test_ask_larger_models_for_less_while_prompts_wait(
-    confidence: float, price: float, chosen: int | None
+def test_escalate_less_while_prompts_wait(
+    confidence: float, cost: float, expected: int | None
 ) -> None:
-    """Prompts wait at every engine: a burst, or engines that were taken away.
+    """Prompts wait at every engine, after a burst or the removal of engines.
 
-    The larger model is asked where its answer helps most, and the others get what is
-    at hand, so that the wait stays where answers are in time.
+    Only the responses that gain most are escalated, so that the wait stays short enough
+    for responses to be in time.
     """
-    question = PendingResponse(
-        count=3, index=0, confidence=confidence, costs=(price / 10, price / 4, price)
+    response = PendingResponse(
+        count=3, index=0, confidence=confidence, costs=(cost / 10, cost / 4, cost)
     )
-    assert MODEL_CHOICES.get("staged").escalate(question) == chosen
+    assert MODEL_CHOICES.get("staged").escalate(response) == expected
 
 
 @settings(max_examples=200)
 @given(st.floats(0, 1), st.floats(-1, 1), st.floats(0, 2), st.floats(0, 1))
-def test_never_ask_for_more_at_a_higher_price(
-    confidence: float, spare: float, price: float, more: float
+def test_higher_cost_never_escalates_more(
+    confidence: float, spare: float, cost: float, more: float
 ) -> None:
-    def ask_at(level: float) -> int:
-        question = PendingResponse(
+    def escalate_at(level: float) -> int:
+        response = PendingResponse(
             count=3,
             index=0,
             confidence=confidence,
             spare=spare,
             costs=(level / 10, level / 4, level),
         )
-        return MODEL_CHOICES.get("staged").escalate(question) or 0
+        return MODEL_CHOICES.get("staged").escalate(response) or 0
 
-    assert ask_at(price + more) <= ask_at(price)
+    assert escalate_at(cost + more) <= escalate_at(cost)
--- a/tests/routing/test_permission.py
+++ b/tests/routing/test_permission.py
@@ -1,12 +1,12 @@
-"""Tests of until when a trial may go on at one instance."""
+"""Tests of the permission of one instance to continue a canary."""
 
 from __future__ import annotations
 
 from baobabthread.routing.permission import PERMIT_TTL_S, Permission
 
 
-def test_let_sessions_stay_on_the_stores_word_but_admit_none() -> None:
-    """The leader falls silent; sessions on the new version must not go back for it."""
+def test_sessions_stay_on_a_confirmation_of_the_store_without_admissions() -> None:
+    """Sessions on the new version must not move back when the leader falls silent."""
     permission = Permission()
     assert permission.left_s(0.0) == 0.0
     permission.confirm(requested_at=1.0)
@@ -17,22 +17,22 @@
     assert not permission.may_admit(2.0 + PERMIT_TTL_S)
 
 
-def test_admit_nobody_where_the_leader_lets_nobody_in() -> None:
+def test_no_admission_without_the_consent_of_the_leader() -> None:
     permission = Permission()
     permission.permit(requested_at=1.0, admits=False)
     assert permission.left_s(1.0) == PERMIT_TTL_S
     assert not permission.may_admit(1.0)
 
 
-def test_shorten_no_permit_by_an_older_one() -> None:
+def test_older_permit_does_not_shorten_a_newer_one() -> None:
     permission = Permission()
     permission.permit(requested_at=5.0, admits=True)
     permission.permit(requested_at=3.0, admits=True)
     assert permission.permitted_s(5.0) == PERMIT_TTL_S
 
 
-def test_know_when_the_leader_was_heard_again() -> None:
-    """An instance that was cut off missed which sessions are in use."""
+def test_record_when_an_expired_permit_is_renewed() -> None:
+    """An instance that was cut off has missed reports of sessions in use."""
     permission = Permission()
     permission.permit(requested_at=1.0, admits=True)
     permission.permit(requested_at=3.0, admits=True)
--- a/tests/routing/test_pins.py
+++ b/tests/routing/test_pins.py
@@ -1,4 +1,4 @@
-"""Tests of which version each session is on."""
+"""Tests of the assignment of sessions to versions."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     return SessionPins(idle_s=6.0)
 
 
-def test_keep_a_session_in_use_until_it_pauses() -> None:
+def test_session_is_in_use_until_it_is_idle() -> None:
     pins = make_pins()
     pins.record_in_use({"s": 1.0}, 10.0)
     assert pins.is_in_use("s", 14.9)
@@ -19,8 +19,8 @@
     assert pins.is_in_use("s", 21.9)
 
 
-def test_take_back_only_what_never_ran_on_the_new_version() -> None:
-    """A lost answer of a decider moved a session back that ran on the new version."""
+def test_admission_is_revoked_only_without_a_request_on_the_new_version() -> None:
+    """A lost reply of an owner moved a session back that ran on the new version."""
     pins = make_pins()
     for session in ("lost", "ran"):
         pins.admit(session)
@@ -30,7 +30,7 @@
     assert pins.is_admitted("ran")
 
 
-def test_know_what_ran_here() -> None:
+def test_track_the_sessions_on_the_new_version() -> None:
     pins = make_pins()
     assert pins.record_new("s", 1.0)
     assert not pins.record_new("s", 2.0)
@@ -39,7 +39,7 @@
     assert pins.list_new(8.0) == []
 
 
-def test_forget_what_an_earlier_order_decided_but_not_who_is_in_use() -> None:
+def test_reset_drops_decisions_but_keeps_sessions_in_use() -> None:
     pins = make_pins()
     pins.record_old_started("old", 1.0)
     pins.record_old_ended("old", 1.0)
@@ -51,15 +51,15 @@
     assert not pins.is_admitted("admitted")
 
 
-def test_hold_a_bounded_number_of_sessions() -> None:
+def test_number_of_sessions_is_bounded() -> None:
     pins = make_pins()
     for number in range(2 * MAX_SESSIONS):
         pins.record_new(f"s{number}", number * 0.01)
     assert len(pins.list_new(2 * MAX_SESSIONS * 0.01)) <= 600
 
 
-def test_take_a_stream_for_in_use_while_it_runs() -> None:
-    """A stream outlasts a pause; its session's next request moved in the middle."""
+def test_session_is_in_use_while_its_stream_runs() -> None:
+    """A stream outlasts the idle time; the session's next request must not move."""
     pins = make_pins()
     pins.record_old_started("s", 0.0)
     assert pins.list_old(20.0) == {"s": 20.0}
--- a/tests/routing/test_queues.py
+++ b/tests/routing/test_queues.py
@@ -1,8 +1,8 @@
-"""Tests of who waits and who is refused on heavy days.
+"""Tests of queueing and rejection under heavy load.
 
-Pattern: a burst at 1.5 to 3 times the usual rate, one client account at 7.5 times its
-usual, while the backend servers run what their places allow. Grounds: the bursts and
-large accounts that the installations' sheets name.
+The load pattern is a burst at 1.5 to 3 times the usual rate, with one client account at
+7.5 times its usual, while the backend servers run at capacity. Bursts and accounts of
+this size occur in installations.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def fill(queue: ServiceQueue, now: float = 0.0) -> None:
-    """Take all places."""
+    """Fill the queue's running slots."""
     number = 0
     while queue.running < queue.limit:
         queue.offer(waiting(f"fill{number}", account="x"), now, 0.0)
@@ -42,7 +42,7 @@
         number += 1
 
 
-def test_order_ranks_into_classes() -> None:
+def test_ranks_map_to_priority_classes() -> None:
     assert [classify(rank) for rank in (0, 1, 2, 3, 9)] == [
         Priority.URGENT,
         Priority.INTERACTIVE,
@@ -52,7 +52,7 @@
     ]
 
 
-def test_share_the_places_among_instances() -> None:
+def test_slots_are_shared_among_instances() -> None:
     queue = ServiceQueue()
     queue.set_capacity(120, 6)
     assert queue.limit == 40
@@ -60,10 +60,10 @@
     assert queue.limit == MIN_RUNNING
 
 
-def test_serve_a_small_account_beside_a_large_one() -> None:
-    """One client account has forty requests queued when a small one sends two.
+def test_small_account_is_served_beside_a_large_one() -> None:
+    """A client account has forty requests queued when a small one sends two.
 
-    First come, first served would let the small one wait behind all forty.
+    In order of arrival, the small one would wait behind all forty.
     """
     queue = ServiceQueue()
     fill(queue)
@@ -74,28 +74,28 @@
     order = []
     for number in range(6):
         queue.finish(f"fill{number}", 100, 0.2)
-        found = queue.pop(0.2)
-        assert found is not None
-        order.append(found.request_id)
+        popped = queue.pop(0.2)
+        assert popped is not None
+        order.append(popped.request_id)
     assert {"small0", "small1"} <= set(order[:5])
 
 
-def test_serve_urgent_requests_first() -> None:
+def test_urgent_requests_are_served_first() -> None:
     queue = ServiceQueue()
     fill(queue)
     queue.offer(waiting("draft", rank=2), 0.0, 0.0)
     queue.offer(waiting("notice", rank=0, account="b"), 0.1, 0.0)
     queue.finish("fill0", 100, 0.2)
-    found = queue.pop(0.2)
-    assert found is not None
-    assert found.request_id == "notice"
+    popped = queue.pop(0.2)
+    assert popped is not None
+    assert popped.request_id == "notice"
 
 
-def test_refuse_at_once_what_cannot_be_served_in_time() -> None:
-    """The queue is longer than the time that a request has.
+def test_requests_that_cannot_be_served_in_time_are_rejected_at_once() -> None:
+    """The wait in the queue exceeds the deadline of a request.
 
-    Waiting to its deadline would cost the caller the chance to go elsewhere; it is
-    refused on arrival, with the time after which there will be room.
+    It is rejected on arrival with a retry time, so that the caller can go elsewhere
+    instead of waiting until the deadline.
     """
     queue = ServiceQueue()
     fill(queue)
@@ -113,9 +113,9 @@
     assert spread.retry_after_s > late.retry_after_s
 
 
-def test_expire_what_waits_too_long() -> None:
+def test_requests_that_wait_too_long_expire() -> None:
     queue = ServiceQueue()
     fill(queue)
     queue.offer(waiting("short", deadline=1.0, service_s=0.3), 0.0, 0.0)
     assert queue.expire(0.6) == []
-    assert [found.request_id for found in queue.expire(0.8)] == ["short"]
+    assert [popped.request_id for popped in queue.expire(0.8)] == ["short"]
--- a/tests/routing/test_versions.py
+++ b/tests/routing/test_versions.py
@@ -1,4 +1,4 @@
-"""Tests of who gets the new version, and when."""
+"""Tests of the selection of requests for the new version."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
 
 
 def find_candidate(plan: VersionPlan, now: float) -> str:
-    """Return a session whose turn comes while the version is on trial."""
+    """Return a session that is selected for the canary."""
     return next(s for s in SESSIONS if plan.needs_owner_decision(s, now))
 
 
-def test_give_nothing_before_an_order() -> None:
+def test_no_rollout_before_an_order() -> None:
     plan = VersionPlan(service="s", bounds=BOUNDS)
     assert plan.order is None
     assert not plan.is_running
 
 
-def test_give_a_new_version_a_part_of_the_bound_at_first() -> None:
+def test_canary_share_is_a_fraction_of_the_bound() -> None:
     plan = begin_rollout()
     assert count_new(plan, 0.5) == 0
     share = count_new(plan, 3.0) / len(SESSIONS)
     assert 0.5 * find_canary_share(BOUNDS, LIMIT_S) < share < 0.2
 
 
-def test_give_nothing_while_no_server_runs_the_new_version() -> None:
+def test_no_share_without_servers_of_the_new_version() -> None:
     plan = begin_rollout(ready_at=None)
     assert count_new(plan, 20.0) == 0
 
 
-def test_never_move_a_session_back_while_the_share_grows() -> None:
+def test_sessions_never_move_back_while_the_share_grows() -> None:
     plan = begin_rollout()
     moved: set[str] = set()
     for now in (3.0, 8.0, 12.5, 20.0, 22.5, 23.0):
@@ -51,11 +51,11 @@
     assert moved == set(SESSIONS)
 
 
-def test_keep_a_session_in_use_for_the_first_half() -> None:
-    """A session's last request ran on the old version two seconds ago.
+def test_session_in_use_stays_until_idle_or_the_final_phase() -> None:
+    """A selected session ran a request on the old version two seconds ago.
 
-    Its turn for the new one has come, but a conversation that goes on would change its
-    version in the middle; after a pause it may.
+    Moving it would change the version in the middle of a conversation. It may move once
+    it is idle, or in the final phase.
     """
     plan = begin_rollout()
     session = find_candidate(plan, 3.0)
@@ -73,8 +73,8 @@
     assert other.decide(session, 10.2)
 
 
-def test_hand_over_the_sessions_seen_here() -> None:
-    plan, home = begin_rollout(), begin_rollout()
+def test_report_the_sessions_seen_here() -> None:
+    plan, owner = begin_rollout(), begin_rollout()
     session = find_candidate(plan, 3.0)
     outside = next(s for s in SESSIONS if not plan.needs_owner_decision(s, 3.0))
     for each in (session, outside):
@@ -82,14 +82,15 @@
         plan.record_old_ended(each, 1.0)
     uses = plan.list_session_ages(3.0)
     assert uses == {session: 2.0}
-    home.pins.record_in_use(uses, 3.0)
-    assert not home.decide(session, 4.0)
+    owner.pins.record_in_use(uses, 3.0)
+    assert not owner.decide(session, 4.0)
 
 
-def test_pause_a_trial_without_word_of_the_one_that_leads() -> None:
-    """An instance is cut from the others, which find the version bad and take it back.
+def test_no_canary_without_a_permit_of_the_leader() -> None:
+    """An instance is cut off from its peers, which roll the version back.
 
-    It reaches the store and the callers, and would go on with the trial by itself.
+    It still reaches the store and the callers, and would continue the canary on its
+    own.
     """
     plan = begin_rollout(permitted_at=3.0)
     assert count_new(plan, 3.0 + PERMIT_TTL_S - 0.1) > 0
@@ -98,11 +99,11 @@
     assert count_new(plan, 6.5) > 0
 
 
-def test_take_no_version_for_the_old_one_that_was_taken_back() -> None:
-    """A bad version is taken back, and the next order comes while its servers run on.
+def test_rolled_back_version_is_not_in_force() -> None:
+    """A bad version is rolled back, and the next order comes while its servers run.
 
-    By number they tie with those in force. All requests that are not on trial went to
-    the bad version, and its failures passed for usual ones.
+    They are as many as those of the version in force. If the bad version is taken for
+    that, it gets all requests beside the canary's and its failures become the baseline.
     """
     plan = VersionPlan(service="s", bounds=BOUNDS)
     plan.update_versions({"v1": 5})
@@ -130,8 +131,8 @@
     assert plan.lineage.find_base({"v1": 5, "v3": 5, "v4": 9}) == "v3"
 
 
-def test_blame_no_request_for_a_version_that_was_taken_back() -> None:
-    """Word of the crashes of a bad version arrives once its roll-out has ended."""
+def test_rolled_back_version_stays_unproven() -> None:
+    """Crash reports of a bad version arrive after its roll-out has ended."""
     plan = begin_rollout()
     assert plan.is_unproven("v2")
     assert not plan.is_unproven("v1")
@@ -151,20 +152,20 @@
     assert not plan.is_unproven("v3")
 
 
-def test_learn_from_others_which_version_is_in_force() -> None:
-    """An instance starts in the middle of a roll-out, with three versions listed."""
+def test_adopt_the_version_in_force_from_a_peer() -> None:
+    """An instance starts during a roll-out, with three versions listed."""
     plan = VersionPlan(service="s", bounds=BOUNDS)
     assert plan.lineage.find_base({"v9": 4, "v10": 4}) == "v9"
     order = RolloutOrder(number=2, service="s", target="v3", time_limit_s=LIMIT_S)
     plan.apply_order(order, 0.0, served_before_order=False)
-    word = Progress(
+    report = Progress(
         service="s", number=2, elapsed_s=4.0, share=0.1, old_running=0, base="v1"
     )
-    plan.apply_verdict(word, 0.2)
+    plan.apply_verdict(report, 0.2)
     assert plan.lineage.find_base({"v1": 3, "v2": 5, "v3": 5}) == "v1"
 
 
-def test_go_on_where_a_restarted_instance_finds_a_rollout() -> None:
+def test_restarted_instance_continues_a_rollout() -> None:
     plan = VersionPlan(service="s", bounds=BOUNDS)
     order = RolloutOrder(number=1, service="s", target="v2", time_limit_s=LIMIT_S)
     plan.apply_order(order, 100.0)
@@ -191,7 +192,7 @@
     assert plan.state is RolloutState.REVERTED
 
 
-def test_begin_anew_with_a_later_order() -> None:
+def test_later_order_starts_a_new_rollout() -> None:
     plan = begin_rollout()
     plan.analysis.alarm = "errors"
     order = RolloutOrder(number=2, service="s", target="v3", time_limit_s=LIMIT_S)
@@ -200,8 +201,8 @@
     assert plan.is_running
 
 
-def test_move_no_session_back_while_the_leader_is_silent() -> None:
-    """A permit lapsed, and sessions went back though the version was not taken back."""
+def test_sessions_stay_while_the_leader_is_silent() -> None:
+    """An expired permit must not move sessions back without a rollback."""
     plan = begin_rollout(permitted_at=3.0)
     session = find_candidate(plan, 3.0)
     assert plan.decide(session, 3.0)
@@ -214,7 +215,7 @@
     assert not plan.decide(other, late)
 
 
-def test_admit_nobody_where_the_leader_lets_nobody_in() -> None:
+def test_no_admission_without_the_consent_of_the_leader() -> None:
     plan = begin_rollout()
     session = find_candidate(plan, 3.0)
     plan.permit(requested_at=3.0, admits=False)
@@ -225,8 +226,8 @@
     assert plan.decide(session, 3.2)
 
 
-def test_bound_what_is_decided_at_the_end() -> None:
-    """Callers press as the version takes over; those that were let in stay."""
+def test_quota_bounds_the_admissions_of_the_final_phase() -> None:
+    """Load rises during the promotion; sessions that were admitted stay."""
     plan = begin_rollout()
     plan.begin_final_phase(23.0, quota=20.4)
     admitted = [session for session in SESSIONS if plan.decide(session, 23.1)]
@@ -235,8 +236,8 @@
     assert plan.decide(SESSIONS[-1], LIMIT_S + 0.1)
 
 
-def test_ask_about_all_sessions_before_the_version_may_take_over() -> None:
-    """An instance missed the end: sessions that moved at others went back."""
+def test_owners_are_queried_for_all_sessions_before_a_promotion() -> None:
+    """An instance that missed the promotion would move sessions of others back."""
     plan = begin_rollout()
     before, after = (
         LIMIT_S - plan.promotion_window_s - 1.0,
@@ -247,7 +248,7 @@
     assert not plan.decide(outside, after)
 
 
-def test_send_nothing_more_to_a_version_that_was_taken_back() -> None:
+def test_rolled_back_version_gets_no_more_requests() -> None:
     plan = begin_rollout()
     session = find_candidate(plan, 3.0)
     assert plan.decide(session, 3.0)
@@ -256,10 +257,10 @@
     assert not plan.decide(session, 3.5)
 
 
-def test_hear_of_the_end_directly() -> None:
-    """Gossip tells two hundred instances within seconds; old servers stop at once."""
+def test_verdict_completes_a_rollout() -> None:
+    """Gossip takes seconds to reach two hundred instances; old servers stop at once."""
     plan = begin_rollout()
-    word = Progress(
+    report = Progress(
         service="s",
         number=1,
         elapsed_s=23.0,
@@ -268,6 +269,6 @@
         is_final=True,
         state=RolloutState.SUCCEEDED,
     )
-    plan.apply_verdict(word, 23.0)
+    plan.apply_verdict(report, 23.0)
     assert plan.state is RolloutState.SUCCEEDED
     assert plan.decide(SESSIONS[0], 23.1)
