--- a/src/baobabthread/routing/canary.py
+++ b/src/baobabthread/routing/canary.py
@@ -169,7 +169,7 @@
         """Responses seen, and bad ones, before the final phase."""
 
     def start_attempt(self, sent: SentAttempt) -> int:
-        """Register an attempt; return the ticket that identifies it."""
+        """Register an attempt; return a ticket that identifies it."""
         self._tickets += 1
         self._pending[self._tickets] = sent
         return self._tickets
--- a/tests/routing/test_queues.py
+++ b/tests/routing/test_queues.py
@@ -109,8 +109,8 @@
     late = queue.offer(waiting("late", deadline=now + 0.5), now, 0.0)
     assert not late.admitted
     assert late.retry_after_s >= 0.1
-    spread = queue.offer(waiting("late2", deadline=now + 0.5), now, 1.0)
-    assert spread.retry_after_s > late.retry_after_s
+    jittered = queue.offer(waiting("late2", deadline=now + 0.5), now, 1.0)
+    assert jittered.retry_after_s > late.retry_after_s
 
 
 def test_requests_that_wait_too_long_expire() -> None:
