--- a/src/baobabthread/instance/__init__.py
+++ b/src/baobabthread/instance/__init__.py
@@ -1,1 +1,1 @@
-"""The process of one instance: its connections, topic readers, listeners and life."""
+"""The instance process: connections, topic readers, listeners and life cycle."""
--- a/src/baobabthread/instance/logoutput.py
+++ b/src/baobabthread/instance/logoutput.py
@@ -1,4 +1,4 @@
-"""Log lines on standard output that never block the loop and are bounded in number."""
+"""Non-blocking, bounded log output on standard output."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from baobabthread.logs import LineFormatter, log_event
 
 MAX_BUFFERED_LINES = 2000
-"""Lines held while standard output can't take them."""
+"""Lines kept while standard output would block; later ones are dropped."""
 FLUSH_INTERVAL_S = 0.25
 MAX_WRITE_BYTES = 65_536
 
 
 class BufferedHandler(logging.Handler):
-    """Hold lines back and write as much as standard output takes at once."""
+    """Buffers lines and writes what the descriptor accepts without blocking."""
 
     def __init__(self, *, descriptor: int) -> None:
         super().__init__()
@@ -31,16 +31,16 @@
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep a line; count it as dropped when too many wait."""
+        """Buffer a line, or count it as dropped if the buffer is full."""
         if len(self._lines) >= MAX_BUFFERED_LINES:
             self.dropped += 1
             return
         self._lines.append(self.format(record).encode("utf-8", "replace") + b"\n")
 
     def flush(self) -> None:
-        """Write what standard output takes without blocking."""
-        # A reader that stops reading must not stop the requests: what doesn't fit
-        # waits, and beyond the bound it is dropped and counted.
+        """Write as much of the buffer as is possible without blocking."""
+        # A log reader that stalls must not stall the requests: lines stay buffered up
+        # to the limit, and further ones are dropped and counted.
         while self._lines or self._partial:
             data = self._partial
             while self._lines and len(data) < MAX_WRITE_BYTES:
@@ -58,7 +58,7 @@
 
 
 async def run_log_flusher(handler: BufferedHandler) -> None:
-    """Write buffered lines from time to time, and say how many were dropped."""
+    """Flush the buffer periodically and log how many lines were dropped."""
     while True:
         await asyncio.sleep(FLUSH_INTERVAL_S)
         handler.flush()
@@ -68,7 +68,7 @@
 
 
 def configure_logging() -> BufferedHandler:
-    """Send all events to standard output through a buffer."""
+    """Route all log events to standard output through a buffer."""
     if not flags.FLAGS.is_parsed():
         flags.FLAGS.mark_as_parsed()
     absl_logging.set_verbosity(absl_logging.INFO)
--- a/src/baobabthread/instance/metrics.py
+++ b/src/baobabthread/instance/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms in the usual text exposition."""
+"""Counters and latency histograms in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Metrics:
-    """Hold what one instance counts."""
+    """Metrics of one instance."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry(auto_describe=False)
@@ -88,10 +88,10 @@
         )
 
     def record_response(self, route: str, status: int, elapsed_s: float) -> None:
-        """Count an answer."""
+        """Count a response and its latency."""
         self._responses.labels(route=route, status=str(status)).inc()
         self.latency.labels(route=route).observe(elapsed_s)
 
     def render(self) -> bytes:
-        """Return all figures as text."""
+        """Return all metrics in the text exposition format."""
         return bytes(generate_latest(self.registry))
--- a/src/baobabthread/instance/requestlog.py
+++ b/src/baobabthread/instance/requestlog.py
@@ -1,4 +1,4 @@
-"""What is logged and counted of each request, within a bound."""
+"""Rate-limited log lines and metrics of each request."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from baobabthread.routing.versions import VersionPlan
 
 FAILURE_LINES_PER_S = 20.0
-"""Lines a second on requests that were refused or failed: enough to find each of a
-quiet hour, few enough that a storm of them costs no noticeable processor time."""
+"""Log lines per second for rejected and failed requests: enough to log each one in a
+quiet hour, few enough that a burst of them costs no noticeable processor time."""
 SUCCESS_LINES_PER_S = 2.0
-"""Lines a second on requests that went well, as a sample."""
+"""Log lines per second for a sample of the successful requests."""
 VERSION_CHOICE_LINES_PER_S = 10.0
-"""Lines a second on the version that a request of a session got in a roll-out."""
+"""Log lines per second for the versions chosen for session requests in a roll-out."""
 BURST_S = 5.0
 
 
 class LineRateLimiter:
-    """Bound how many lines of one kind are written."""
+    """Token bucket that limits the log lines of one kind."""
 
     __slots__ = ("_checked_at", "_level", "_rate", "suppressed")
 
@@ -33,11 +33,11 @@
         self.suppressed = 0
 
     def try_acquire(self) -> bool:
-        """Tell whether one more line may be written."""
-        moment = now()
-        level = self._level + (moment - self._checked_at) * self._rate
+        """Return whether one more line may be written."""
+        checked_at = now()
+        level = self._level + (checked_at - self._checked_at) * self._rate
         self._level = min(self._rate * BURST_S, level)
-        self._checked_at = moment
+        self._checked_at = checked_at
         if self._level < 1.0:
             self.suppressed += 1
             return False
@@ -46,38 +46,44 @@
 
 
 class RequestLog:
-    """Write a line for the end of a request, with what decided it."""
+    """Logs and counts the outcome of requests, with the facts that decided it."""
 
-    __slots__ = ("_choices", "_failures", "_knowledge", "_metrics", "_successes")
+    __slots__ = (
+        "_choice_limiter",
+        "_failure_limiter",
+        "_metrics",
+        "_replica",
+        "_success_limiter",
+    )
 
     def __init__(self, *, knowledge: StateReplica, metrics: Metrics) -> None:
-        self._knowledge = knowledge
+        self._replica = knowledge
         self._metrics = metrics
-        self._failures = LineRateLimiter(per_s=FAILURE_LINES_PER_S)
-        self._successes = LineRateLimiter(per_s=SUCCESS_LINES_PER_S)
-        self._choices = LineRateLimiter(per_s=VERSION_CHOICE_LINES_PER_S)
-
-    def record_version_choice(self, flight: RequestContext, plan: VersionPlan) -> None:
-        """Note which version a request of a session got in a roll-out, and why."""
-        reason = flight.version_reason
-        if not plan.is_running or flight.is_sessionless:
+        self._failure_limiter = LineRateLimiter(per_s=FAILURE_LINES_PER_S)
+        self._success_limiter = LineRateLimiter(per_s=SUCCESS_LINES_PER_S)
+        self._choice_limiter = LineRateLimiter(per_s=VERSION_CHOICE_LINES_PER_S)
+
+    def record_version_choice(self, context: RequestContext, plan: VersionPlan) -> None:
+        """Record the version chosen for a session's request in a roll-out."""
+        reason = context.version_reason
+        if not plan.is_running or context.is_sessionless:
             return
         self._metrics.version_choices.labels(
-            service=flight.service, reason=str(reason)
+            service=context.service, reason=str(reason)
         ).inc()
-        if reason is VersionReason.NOT_CANARY or not self._choices.try_acquire():
+        if reason is VersionReason.NOT_CANARY or not self._choice_limiter.try_acquire():
             return
         assert plan.order is not None
         log_event(
             "session_version_chosen",
-            request=flight.request.envelope.request_id,
-            session=flight.session,
-            service=flight.service,
+            request=context.request.envelope.request_id,
+            session=context.session,
+            service=context.service,
             number=plan.order.number,
-            version=flight.version or "",
+            version=context.version or "",
             reason=reason,
-            was_new=plan.pins.is_on_new(flight.session),
-            attempt=flight.attempts + 1,
+            was_new=plan.pins.is_on_new(context.session),
+            attempt=context.attempts + 1,
             exposed=plan.exposure.report().exposed,
             permit_ms=round(1000 * plan.permission.permitted_s(now())),
             confirmed_ms=round(1000 * plan.permission.left_s(now())),
@@ -85,37 +91,37 @@
         )
 
     def record_response(
-        self, flight: RequestContext, backend: BackendRecord, status: int
+        self, context: RequestContext, backend: BackendRecord, status: int
     ) -> None:
-        """Note an answer that was passed on."""
-        elapsed_s = now() - flight.started_at
-        self._metrics.record_response(flight.route.name, status, elapsed_s)
-        if flight.attempts > 1:
-            self._metrics.retries.inc(flight.attempts - 1)
-        unusual = status >= 400 or flight.attempts > 1
-        lines = self._failures if unusual else self._successes
-        if lines.try_acquire():
-            write_event("request_answered", self._describe(flight, status, backend))
-
-    def record_failure(self, flight: RequestContext, kind: str, status: int) -> None:
-        """Note a request that ended with a refusal or failure of this side's own."""
+        """Record a response that was passed on to the caller."""
+        elapsed_s = now() - context.started_at
+        self._metrics.record_response(context.route.name, status, elapsed_s)
+        if context.attempts > 1:
+            self._metrics.retries.inc(context.attempts - 1)
+        unusual = status >= 400 or context.attempts > 1
+        limiter = self._failure_limiter if unusual else self._success_limiter
+        if limiter.try_acquire():
+            write_event("request_answered", self._describe(context, status, backend))
+
+    def record_failure(self, context: RequestContext, kind: str, status: int) -> None:
+        """Record a request that this instance rejected or failed itself."""
         self._metrics.rejected.labels(kind=kind).inc()
-        if self._failures.try_acquire():
+        if self._failure_limiter.try_acquire():
             write_event(
-                "request_given_up", self._describe(flight, status, None, kind=kind)
+                "request_given_up", self._describe(context, status, None, kind=kind)
             )
 
-    def record_quarantined(self, flight: RequestContext) -> None:
-        """Note a request that is held back as backend servers crash under it."""
+    def record_quarantined(self, context: RequestContext) -> None:
+        """Record a request rejected because it is quarantined for crashing servers."""
         self._metrics.rejected.labels(kind="quarantined").inc()
-        if self._failures.try_acquire():
-            fields = self._describe(flight, 0, None, fingerprint=flight.fingerprint)
+        if self._failure_limiter.try_acquire():
+            fields = self._describe(context, 0, None, fingerprint=context.fingerprint)
             write_event("request_held_back", fields)
 
     def record_rejection(self, request: CallerRequest, kind: str, status: int) -> None:
-        """Note a request that never came as far as a route or an account."""
+        """Record a request rejected before a route or an account was found."""
         self._metrics.rejected.labels(kind=kind).inc()
-        if self._failures.try_acquire():
+        if self._failure_limiter.try_acquire():
             fields = {
                 "request": request.envelope.request_id,
                 "kind": kind,
@@ -125,70 +131,70 @@
             }
             write_event("request_turned_away", fields | self._describe_replica())
 
-    def record_caller_disconnect(self, flight: RequestContext) -> None:
-        """Note a caller that left before its answer was whole."""
+    def record_caller_disconnect(self, context: RequestContext) -> None:
+        """Record a caller that disconnected before its response was complete."""
         self._metrics.rejected.labels(kind="caller_gone").inc()
-        if self._failures.try_acquire():
-            write_event("caller_gone", self._describe(flight, 0, None))
+        if self._failure_limiter.try_acquire():
+            write_event("caller_gone", self._describe(context, 0, None))
 
-    def record_cut_by_stop(self, flight: RequestContext) -> None:
-        """Note a request that was not answered when this instance ended."""
+    def record_cut_by_stop(self, context: RequestContext) -> None:
+        """Record a request still unanswered when this instance stopped."""
         self._metrics.rejected.labels(kind="cut_by_stop").inc()
-        if self._failures.try_acquire():
-            fields = self._describe(flight, 0, None, begun=flight.reply.has_begun)
+        if self._failure_limiter.try_acquire():
+            fields = self._describe(context, 0, None, begun=context.reply.has_begun)
             write_event("request_cut_by_stop", fields)
 
     def record_internal_error(
-        self, flight: RequestContext, error: BaseException
+        self, context: RequestContext, error: BaseException
     ) -> None:
-        """Note an error of this program's own."""
+        """Log an unexpected exception in this program."""
         log_event(
             "request_crashed",
             level="error",
-            request=flight.request.envelope.request_id,
+            request=context.request.envelope.request_id,
             error=repr(error),
         )
 
     def _describe(
         self,
-        flight: RequestContext,
+        context: RequestContext,
         status: int,
         backend: BackendRecord | None,
         **fields: object,
     ) -> dict[str, object]:
-        moment = now()
-        if flight.lost_connections:
-            fields.setdefault("fingerprint", flight.fingerprint)
-        if flight.admitted_at_stop is not None:
-            fields.setdefault("until_end_ms", flight.admitted_at_stop.until_end_ms)
-            fields.setdefault("usual_ms", flight.admitted_at_stop.usual_ms)
-            fields.setdefault("longest_ms", flight.admitted_at_stop.longest_ms)
-        described: dict[str, object] = {
-            "request": flight.request.envelope.request_id,
+        logged_at = now()
+        if context.lost_connections:
+            fields.setdefault("fingerprint", context.fingerprint)
+        if context.admitted_at_stop is not None:
+            fields.setdefault("until_end_ms", context.admitted_at_stop.until_end_ms)
+            fields.setdefault("usual_ms", context.admitted_at_stop.usual_ms)
+            fields.setdefault("longest_ms", context.admitted_at_stop.longest_ms)
+        common: dict[str, object] = {
+            "request": context.request.envelope.request_id,
             "status": status,
-            "route": flight.route.name,
-            "service": flight.service,
-            "account": flight.account.name if flight.account is not None else "",
+            "route": context.route.name,
+            "service": context.service,
+            "account": context.account.name if context.account is not None else "",
             "backend": backend.id if backend is not None else "",
             "version": backend.version if backend is not None else "",
-            "model": flight.model_name or "",
-            "confidence": flight.confidence if flight.confidence is not None else "",
-            "prompt": flight.request.envelope.prompt_tokens,
-            "kept": flight.kept_tokens if flight.kept_tokens is not None else "",
-            "hint": flight.request.envelope.expected_tokens,
-            "objective_ms": round(flight.route.objective_s * 1000),
-            "first_ms": round(flight.head_s * 1000),
-            "attempts": flight.attempts,
-            "runs": flight.runs,
-            "trail": ",".join(flight.timeline),
-            "took_ms": round((moment - flight.started_at) * 1000),
-            "left_ms": round((flight.deadline - moment) * 1000),
+            "model": context.model_name or "",
+            "confidence": context.confidence if context.confidence is not None else "",
+            "prompt": context.request.envelope.prompt_tokens,
+            "kept": context.kept_tokens if context.kept_tokens is not None else "",
+            "hint": context.request.envelope.expected_tokens,
+            "objective_ms": round(context.route.objective_s * 1000),
+            "first_ms": round(context.head_s * 1000),
+            "attempts": context.attempts,
+            "runs": context.runs,
+            "trail": ",".join(context.timeline),
+            "took_ms": round((logged_at - context.started_at) * 1000),
+            "left_ms": round((context.deadline - logged_at) * 1000),
         }
-        return described | fields | self._describe_replica()
+        return common | fields | self._describe_replica()
 
     def _describe_replica(self) -> dict[str, object]:
-        table = self._knowledge.table
+        table = self._replica.table
         return {
             "configuration": table.configuration.version if table is not None else 0,
-            "age_ms": round(min(self._knowledge.operators_age(now()), 1e6) * 1000),
+            "age_ms": round(min(self._replica.operators_age(now()), 1e6) * 1000),
         }
--- a/src/baobabthread/instance/settings.py
+++ b/src/baobabthread/instance/settings.py
@@ -1,4 +1,4 @@
-"""What one instance needs to know before it starts."""
+"""Start-up settings of an instance."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class InstanceSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the addresses, the name and the bounds of one instance."""
+    """Addresses, name and bounds of one instance."""
 
     name: str
     failure_domain: str
@@ -19,30 +19,30 @@
     readiness_address: str
     directory_address: str
     control_address: str
-    """Where other instances fetch what this one knows."""
+    """Address at which other instances fetch this one's replica."""
     gossip_port: int
-    """UDP port, the same at all instances."""
+    """UDP port, the same on all instances."""
     seeds: tuple[str, ...]
     """Control addresses of other instances."""
     store_address: str
     memory_mb: int = 300
     bounds: RoutingBounds = RoutingBounds()
     off: DisabledMechanisms = NONE_DISABLED
-    """Mechanisms that are switched off, to measure what they are worth."""
+    """Mechanisms that are disabled, to measure their benefit."""
     regions: dict[str, str] = {}
-    """Areas by failure domain."""
+    """Region by failure domain."""
 
     @property
     def gossip_address(self) -> str:
-        """Give the address at which other instances reach this one."""
+        """The address at which other instances reach this one."""
         return f"{self.ip}:{self.gossip_port}"
 
     @property
     def has_other_seeds(self) -> bool:
-        """Tell whether it was told of any other instance."""
+        """Whether the seeds name any other instance."""
         return any(seed.rpartition(":")[0] != self.ip for seed in self.seeds)
 
     @property
     def control_port(self) -> int:
-        """Give the control port, the same at all instances."""
+        """The control port, the same on all instances."""
         return int(self.control_address.rpartition(":")[2])
--- a/src/baobabthread/instance/store.py
+++ b/src/baobabthread/instance/store.py
@@ -1,4 +1,4 @@
-"""The port to the store that keeps what must last."""
+"""Port to the store, which holds the persistent state."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class StoreError(Exception):
-    """Report a call to the store without a usable answer; it may have been done."""
+    """A store call got no usable response; it may have taken effect."""
 
 
 class Record(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold one keyed record; without a value the key is gone."""
+    """One keyed record; an empty value deletes the key."""
 
     key: str
     value: bytes
@@ -29,29 +29,31 @@
 
 
 class Page(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the newest record of each key, and where to read on."""
+    """The newest record of each key, and the offset to continue reading from."""
 
     records: list[Record]
     end: int
 
 
 class Tail(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold records in order, where they end and where the topic ends."""
+    """Records in offset order, and the end of the topic."""
 
     records: list[Record]
     next: int
+    """Offset after the last record read."""
     end: int
+    """Offset at which the topic ends."""
 
 
 class Trimmed(msgspec.Struct, frozen=True):
-    """Tell that the records asked for are no longer held."""
+    """The requested records are no longer in the topic."""
 
 
 class Append(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold one keyed record that is appended only where the topic ends as expected.
+    """A keyed record that is appended only if the topic ends at `expected_end`.
 
-    Whoever decided on what it had read before somebody else wrote, such as an instance
-    that was paused, finds the topic longer and writes nothing.
+    This is a compare-and-set: a writer that decided on outdated records, such as an
+    instance that was paused, finds that the topic has grown and appends nothing.
     """
 
     topic: str
@@ -61,20 +63,20 @@
 
 
 class Appended(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell that a record was appended, and where the topic ends now."""
+    """A record was appended; the topic now ends at `end`."""
 
     end: int
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """Tell that a record was not appended, as the topic has grown since."""
+    """A record was not appended because the topic has grown."""
 
 
 class RecordFormat(Protocol):
-    """Name the topics and decode what stands in them.
+    """Names the topics and translates their records.
 
-    Decoders raise `msgspec.MsgspecError` or `BaobabthreadError` for what they can't
-    understand.
+    Decoders raise `msgspec.MsgspecError` or `BaobabthreadError` for records that
+    can't be decoded.
     """
 
     operators_topic: str
@@ -84,36 +86,36 @@
     def decode_operator_record(
         self, record: Record
     ) -> RoutingConfiguration | RolloutOrder | Evacuation | None:
-        """Decode what operators wrote; nothing for keys of no interest.
+        """Decode an operators' record; return None for keys that are not used here.
 
-        Without a value a record takes back what stood under its key.
+        A record with an empty value withdraws the previous one of its key.
         """
 
     def decode_backend(self, record: Record) -> BackendRecord:
-        """Decode the record of one start of a backend server."""
+        """Decode the record of one backend server process."""
 
     def decode_status(self, record: Record) -> RolloutStatus | None:
-        """Decode how far a roll-out has come."""
+        """Decode the status of a roll-out; return None for other records."""
 
     def encode_status(self, status: RolloutStatus, expected_end: int) -> Append:
-        """Return the record that says how far a roll-out has come."""
+        """Return the append that writes the status of a roll-out."""
 
     def decode_quarantined(
         self, record: Record, *, unix_now: float
     ) -> QuarantineEntry | None:
-        """Decode a request that is held; nothing for other records there."""
+        """Decode a quarantined request; return None for other records."""
 
     def encode_quarantined(
         self, entry: QuarantineEntry, expected_end: int, *, unix_now: float
     ) -> Append:
-        """Return the record of a request that is held."""
+        """Return the append that writes a quarantined request."""
 
     def encode_release(self, fingerprint: str, expected_end: int) -> Append:
-        """Return the record that removes a request that is held no more."""
+        """Return the append that removes a request from quarantine."""
 
 
 class Store(Protocol):
-    """Read and append records of keyed topics; each call may raise `StoreError`."""
+    """Reads and appends records of keyed topics; each call may raise `StoreError`."""
 
     async def newest(self, topic: str, timeout_s: float) -> Page:
         """Return the newest record of each key."""
@@ -121,7 +123,10 @@
     async def read(
         self, topic: str, start: int, *, wait_s: float, timeout_s: float
     ) -> Tail | Trimmed:
-        """Return the records from an offset on, at once when there are any."""
+        """Return the records from an offset on.
+
+        Waits up to `wait_s` only while there are none.
+        """
 
     async def append(self, append: Append, timeout_s: float) -> Appended | Conflict:
         """Append one record."""
--- a/src/baobabthread/instance/wire.py
+++ b/src/baobabthread/instance/wire.py
@@ -1,4 +1,4 @@
-"""The port to how requests and answers are marked on the wire."""
+"""Port to the header fields of requests and responses."""
 
 from __future__ import annotations
 
@@ -13,42 +13,42 @@
 
 
 class BackendCall(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what this side tells a backend server about one attempt."""
+    """Fields that the instance adds to the request of one attempt."""
 
     backend: str
-    """Id of the start that shall run it; another one refuses."""
+    """Id of the process that is to run the request; any other process rejects it."""
     time_left_s: float
     account: str | None
     priority: int
     model: str | None
-    """The model chosen here; None leaves what the caller sent."""
+    """The model chosen by this instance; None keeps the caller's field."""
     last_event: str | None
-    """The last event that the caller already has."""
+    """Id of the last event that the caller has received."""
 
 
 class ResponseMetadata(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what the head of an answer says about it."""
+    """Metadata from the head of a backend server's response."""
 
     signed: bool
     request_id: str | None
     not_run: bool
     """Whether the backend server states that it did not run the request."""
     is_other_server: bool
-    """Whether it comes from another start than the one that was asked for."""
+    """Whether another process responded than the one the request names."""
     confidence: float | None
-    """The model's own opinion of its answer, 0 to 1."""
+    """The model's confidence in its response, 0 to 1."""
     encoded: bool
-    """Whether the body isn't the one that the backend server signed."""
+    """Whether a content coding changed the body that the backend server signed."""
     retry_after_s: float | None = None
     cold_left_s: float = 0.0
-    """How much longer the backend server says that it is cold."""
+    """Remaining warm-up time that the backend server reports, in seconds."""
 
 
 class WireFormat(Protocol):
-    """Translate between header fields and what they mean."""
+    """Encodes and decodes the header fields of requests and responses."""
 
     def decode_envelope(self, headers: Mapping[str, str]) -> Envelope:
-        """Decode what a caller's headers say."""
+        """Decode the headers of a caller's request."""
 
     def encode_request(
         self,
@@ -58,12 +58,12 @@
         call: BackendCall,
         body_bytes: int,
     ) -> bytes:
-        """Return the head of the request for a backend server."""
+        """Return the head of the request to a backend server."""
 
     def decode_response(
         self, status: int, headers: Mapping[str, str]
     ) -> ResponseMetadata:
-        """Decode what the head of an answer says."""
+        """Decode the head of a backend server's response."""
 
     def filter_response_headers(self, headers: RawHeaders) -> list[tuple[str, str]]:
-        """Return the fields of an answer that are the caller's."""
+        """Return the response headers that are passed on to the caller."""
--- a/src/baobabthread/platform/__init__.py
+++ b/src/baobabthread/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's names, formats and calls; nothing here decides."""
+"""Adapter to the platform: its names, formats and calls, without routing decisions."""
--- a/src/baobabthread/platform/__main__.py
+++ b/src/baobabthread/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Run one instance on the platform."""
+"""Entry point of an instance on the platform."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 def main() -> int:
-    """Load the program and run it; return the exit code."""
-    # The platform may tell of changed settings while the program still loads. Without
-    # this the signal ends the process and costs its callers another start. Nothing is
-    # lost by passing it over: settings are read after this, at the start.
+    """Import and run the program; return the exit code."""
+    # The platform may send SIGHUP, for changed settings, while modules are still being
+    # imported. The default action would end the process and make callers wait for
+    # another start. Ignoring it loses nothing, since settings are read later.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from baobabthread.platform import program
 
--- a/src/baobabthread/platform/headers.py
+++ b/src/baobabthread/platform/headers.py
@@ -1,4 +1,4 @@
-"""Header fields of requests and answers, and what they mean."""
+"""Header fields of the platform's requests and responses."""
 
 from __future__ import annotations
 
@@ -42,8 +42,9 @@
     b"expect",
 }
 _RESERVED_HEADERS = {
-    # Callers forge these: a backend server would then charge another client account,
-    # reserve memory or continue from somebody else's.
+    # Only the instance may set these. If callers' values were passed on, a backend
+    # server would charge another client account, reserve memory or continue from
+    # another request's state.
     b"authorization",
     b"x-tenant",
     b"x-target-instance",
@@ -60,12 +61,12 @@
 
 
 class PlatformWireFormat:
-    """Translate between the platform's header fields and what they mean."""
+    """The platform's `WireFormat`."""
 
     __slots__ = ()
 
     def decode_envelope(self, headers: Mapping[str, str]) -> Envelope:
-        """Decode what a caller's headers say; what can't be read counts as absent."""
+        """Decode the headers of a caller's request; invalid fields count as absent."""
         prompt, output = _parse_token_counts(headers.get(TOKEN_USAGE))
         return Envelope(
             request_id=headers.get(REQUEST_ID, ""),
@@ -88,7 +89,7 @@
         call: BackendCall,
         body_bytes: int,
     ) -> bytes:
-        """Return the head of the request for a backend server."""
+        """Return the head of the request to a backend server."""
         dropped = (
             _HOP_BY_HOP_HEADERS | _RESERVED_HEADERS | _list_connection_options(headers)
         )
@@ -111,7 +112,7 @@
     def decode_response(
         self, status: int, headers: Mapping[str, str]
     ) -> ResponseMetadata:
-        """Decode what the head of an answer says."""
+        """Decode the head of a backend server's response."""
         confidence = _parse_number(headers.get(CONFIDENCE))
         return ResponseMetadata(
             signed=SIGNATURE in headers,
@@ -125,7 +126,7 @@
         )
 
     def filter_response_headers(self, headers: RawHeaders) -> list[tuple[str, str]]:
-        """Return the fields of an answer that are the caller's."""
+        """Return the response headers that are passed on to the caller."""
         dropped = _HOP_BY_HOP_HEADERS | _list_connection_options(headers)
         return [
             (
@@ -180,8 +181,8 @@
 
 
 def _parse_token_counts(value: str | None) -> tuple[int, int]:
-    found = _TOKEN_COUNTS.match(value or "")
-    return (int(found.group(1)), int(found.group(2))) if found else (0, 0)
+    match = _TOKEN_COUNTS.match(value or "")
+    return (int(match.group(1)), int(match.group(2))) if match else (0, 0)
 
 
 def _parse_prompt_parts(value: str | None) -> tuple[PromptPart, ...]:
--- a/src/baobabthread/platform/interface.py
+++ b/src/baobabthread/platform/interface.py
@@ -1,4 +1,4 @@
-"""What the platform asks an instance: readiness, addresses, figures."""
+"""HTTP handlers for the platform's readiness checks and address lookups."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 RESOLVE_PATH = "/-/resolve"
 
 FindAddresses = Callable[[str | None, str | None], AddressList]
-"""By the caller's failure domain and area."""
+"""Finds the addresses for a caller's failure domain and region."""
 
 
 class _Addresses(msgspec.Struct, kw_only=True):
     addresses: list[str]
-    """Of callers' listeners, as IP:PORT."""
+    """Callers' listeners of instances, as IP:PORT."""
     ttl_s: float
 
 
 class PlatformInterface:
-    """Answer the platform's and the callers' questions about instances."""
+    """Serves readiness to the platform and instance addresses to callers."""
 
     __slots__ = ("_find_addresses", "_is_ready")
 
@@ -34,21 +34,23 @@
         self._find_addresses = find_addresses
 
     async def serve_readiness(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Tell whether this instance takes callers."""
+        """Respond with status 200 if this instance accepts callers, else 503."""
         if _get_path(request) != READY_PATH:
             return web.Response(status=404)
         return web.Response(status=200 if self._is_ready() else 503)
 
     async def serve_directory(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Tell which addresses a caller may connect to."""
+        """Respond with the addresses to which a caller may connect."""
         if _get_path(request) != RESOLVE_PATH:
             return web.Response(status=404)
-        found = self._find_addresses(
+        directory = self._find_addresses(
             request.query.get("zone"), request.query.get("region")
         )
-        answer = _Addresses(addresses=found.addresses, ttl_s=found.lifetime_s)
+        addresses = _Addresses(
+            addresses=directory.addresses, ttl_s=directory.lifetime_s
+        )
         return web.Response(
-            body=msgspec.json.encode(answer), content_type="application/json"
+            body=msgspec.json.encode(addresses), content_type="application/json"
         )
 
 
--- a/src/baobabthread/platform/program.py
+++ b/src/baobabthread/platform/program.py
@@ -1,4 +1,4 @@
-"""The program on the platform: its arguments, and its parts put together."""
+"""Command line of the instance, and the composition of its adapters."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from baobabthread.routing.mechanisms import Mechanism
 
 CONNECT_TIMEOUT_S = 0.5
-"""Longest time for a connection to the store."""
+"""Timeout for opening a connection to the store."""
 
 
 def main() -> int:
@@ -39,7 +39,7 @@
         help=f"path of the settings file [env: {PATH_VARIABLE}]",
     )
     parser.add_argument(
-        "--metrics", default=None, help="PORT/PATH at which figures are served"
+        "--metrics", default=None, help="PORT/PATH at which metrics are served"
     )
     parser.add_argument(
         "--without",
@@ -47,7 +47,7 @@
         type=Mechanism,
         choices=list(Mechanism),
         default=[],
-        help="switch a mechanism off, to measure what it is worth; may be repeated",
+        help="disable a mechanism, to measure its benefit; may be repeated",
     )
     return parser.parse_args()
 
--- a/src/baobabthread/platform/records.py
+++ b/src/baobabthread/platform/records.py
@@ -1,4 +1,4 @@
-"""The records that operators and backend servers keep in the platform's store."""
+"""Records of operators and backend servers in the platform's store."""
 
 from __future__ import annotations
 
@@ -37,10 +37,8 @@
     "idempotent": RequestKind.IDEMPOTENT,
     "streaming": RequestKind.STREAM,
 }
-_BACKEND_REMEDY = "let only backend servers write there; theirs has all fields"
-_CONFIGURATION_REMEDY = (
-    "publish a configuration in the form that the platform's pages give"
-)
+_BACKEND_REMEDY = "let only backend servers write to this topic, with all fields"
+_CONFIGURATION_REMEDY = "publish a configuration in the platform's documented format"
 
 
 class _Split(msgspec.Struct, frozen=True, kw_only=True):
@@ -58,13 +56,13 @@
     priority: int = 5
     max_attempts: int = 1
     sizes: list[str] = []
-    """Names of models, smallest first."""
+    """Model names, smallest model first."""
     service: str | None = None
     backends: list[_Split] = []
-    """Services, not backend servers."""
+    """Weighted services, not backend servers."""
     public: bool = False
     sticky: bool = False
-    """Whether requests name the parts of their prompt."""
+    """Whether requests list the parts of their prompt."""
     resumable: bool = False
     gap_target_ms: float = 0.0
     allowed_regions: list[str] = []
@@ -78,7 +76,7 @@
 class _Engine(msgspec.Struct, frozen=True, kw_only=True):
     slots: int = 0
     kv_capacity_tokens: int = 0
-    """Memory for running requests and kept parts together."""
+    """Memory shared by running requests and cached prompt parts."""
     models: list[_Model] = []
 
 
@@ -117,28 +115,29 @@
 
 
 class _Server(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what a backend server writes; whatever lacks a field is not from one."""
+    """Record of a backend server; a record that lacks a field is another writer's."""
 
     service: str
     address: str
     zone: str
     version: str
     slots: int
-    """Requests that it runs at once."""
+    """Requests that it runs concurrently."""
     state: _ServerState
     born: int = 0
-    """Unix millisecond of its start; deployments whose servers never return under
-    their id leave it out."""
+    """Unix time of its start in milliseconds; omitted by deployments whose servers
+    never restart under the same id."""
     cold_left_ms: float | str | None = None
-    """Text or nothing, which no server writes, costs it only what it says of this."""
+    """Remaining warm-up time; text or null, which no server writes, is ignored without
+    rejecting the record."""
 
 
 class _Order(msgspec.Struct, frozen=True, kw_only=True):
     service: str
     target: str
-    """A version."""
+    """Version to roll out."""
     deadline_s: float
-    """Time limit of the whole move, from the order."""
+    """Time limit of the whole roll-out, counted from the order."""
 
 
 class _Status(msgspec.Struct, frozen=True, kw_only=True):
@@ -153,13 +152,13 @@
     service: str
     times: int
     until_ms: float
-    """Unix millisecond."""
+    """Unix time in milliseconds."""
     cleared: bool = False
     versions: tuple[str, ...] = ()
 
 
 class PlatformRecordFormat:
-    """Name the platform's topics and decode what stands in them."""
+    """The platform's `RecordFormat`."""
 
     __slots__ = ()
 
@@ -170,7 +169,7 @@
     def decode_operator_record(
         self, record: Record
     ) -> RoutingConfiguration | RolloutOrder | Evacuation | None:
-        """Decode what operators wrote; nothing for keys of no interest."""
+        """Decode an operators' record; return None for keys that are not used here."""
         if record.key.startswith(EVACUATION_PREFIX):
             return Evacuation(
                 number=record.offset,
@@ -186,17 +185,17 @@
         return None
 
     def decode_backend(self, record: Record) -> BackendRecord:
-        """Decode the record of one start of a backend server."""
+        """Decode the record of one backend server process."""
         return decode_backend(record.key, record.value)
 
     def decode_status(self, record: Record) -> RolloutStatus | None:
-        """Decode how far a roll-out has come."""
+        """Decode the status of a roll-out; return None for other records."""
         if not record.key.startswith(ROLLOUT_PREFIX):
             return None
         return decode_status(record.value)
 
     def encode_status(self, status: RolloutStatus, expected_end: int) -> Append:
-        """Return the record that says how far a roll-out has come."""
+        """Return the append that writes the status of a roll-out."""
         return Append(
             topic=self.status_topic,
             key=f"{ROLLOUT_PREFIX}{status.service}",
@@ -207,23 +206,23 @@
     def decode_quarantined(
         self, record: Record, *, unix_now: float
     ) -> QuarantineEntry | None:
-        """Decode a request that is held; nothing for other records there."""
+        """Decode a quarantined request; return None for other records."""
         if not record.key.startswith(QUARANTINE_PREFIX) or not record.value:
             return None
-        found = msgspec.json.decode(record.value, type=_Quarantined)
+        entry = msgspec.json.decode(record.value, type=_Quarantined)
         return QuarantineEntry(
             fingerprint=record.key.removeprefix(QUARANTINE_PREFIX),
-            service=found.service,
-            times=found.times,
-            left_s=found.until_ms / MS_PER_S - unix_now,
-            is_cleared=found.cleared,
-            versions=found.versions,
+            service=entry.service,
+            times=entry.times,
+            left_s=entry.until_ms / MS_PER_S - unix_now,
+            is_cleared=entry.cleared,
+            versions=entry.versions,
         )
 
     def encode_quarantined(
         self, entry: QuarantineEntry, expected_end: int, *, unix_now: float
     ) -> Append:
-        """Return the record of a request that is held."""
+        """Return the append that writes a quarantined request."""
         record = _Quarantined(
             service=entry.service,
             times=entry.times,
@@ -237,7 +236,7 @@
         )
 
     def encode_release(self, fingerprint: str, expected_end: int) -> Append:
-        """Return the record that removes a request that is held no more."""
+        """Return the append that removes a request from quarantine."""
         return Append(
             topic=self.status_topic,
             key=f"{QUARANTINE_PREFIX}{fingerprint}",
@@ -249,31 +248,31 @@
 def decode_configuration(value: bytes) -> RoutingConfiguration:
     """Decode a configuration.
 
-    Raises `ConfigurationError` where it can't be understood.
+    Raises `ConfigurationError` if it can't be decoded.
     """
     try:
-        found = msgspec.json.decode(value, type=_Configuration)
+        decoded = msgspec.json.decode(value, type=_Configuration)
     except msgspec.MsgspecError as error:
         raise ConfigurationError(
             str(error), field=CONFIGURATION_KEY, remedy=_CONFIGURATION_REMEDY
         ) from error
     return RoutingConfiguration(
-        version=found.version,
-        routes=tuple(_translate_route(route) for route in found.routes),
-        services=tuple(_translate_service(service) for service in found.services),
+        version=decoded.version,
+        routes=tuple(_translate_route(route) for route in decoded.routes),
+        services=tuple(_translate_service(service) for service in decoded.services),
         limits=RequestLimits(
-            max_header_bytes=found.limits.max_header_bytes,
-            max_body_bytes=found.limits.max_body_bytes,
-            idle_timeout_s=found.limits.idle_timeout_ms / MS_PER_S,
+            max_header_bytes=decoded.limits.max_header_bytes,
+            max_body_bytes=decoded.limits.max_body_bytes,
+            idle_timeout_s=decoded.limits.idle_timeout_ms / MS_PER_S,
         ),
         accounts=tuple(
             Account(
-                name=t.name,
-                keys=tuple(t.api_keys),
-                priority=t.priority,
-                allowed_regions=tuple(t.allowed_regions),
+                name=tenant.name,
+                keys=tuple(tenant.api_keys),
+                priority=tenant.priority,
+                allowed_regions=tuple(tenant.allowed_regions),
             )
-            for t in found.tenants
+            for tenant in decoded.tenants
         ),
     )
 
@@ -288,7 +287,7 @@
         name=route.name or f"{route.host}{route.path_prefix}",
         host=route.host,
         path_prefix=route.path_prefix,
-        # A kind that this side doesn't know must not run twice.
+        # Requests of an unknown kind must not run twice.
         kind=_REPEATABILITY_BY_KIND.get(route.kind, RequestKind.NON_IDEMPOTENT),
         targets=targets,
         timeout_s=route.timeout_ms / MS_PER_S,
@@ -311,34 +310,36 @@
         max_connections=service.max_conns,
         capacity=engine.slots,
         memory_tokens=engine.kv_capacity_tokens,
-        models=tuple(ModelCost(name=m.name, cost=m.cost) for m in engine.models),
+        models=tuple(
+            ModelCost(name=model.name, cost=model.cost) for model in engine.models
+        ),
         warmup_s=service.cold_s,
         warmup_rate=service.cold_per_s,
     )
 
 
 def decode_backend(id: str, value: bytes) -> BackendRecord:
-    """Decode the record of one start of a backend server.
+    """Decode the record of one backend server process.
 
-    Raises `ConfigurationError` where it names no backend server that could be used.
+    Raises `ConfigurationError` if it describes no usable backend server.
     """
     try:
-        found = msgspec.json.decode(value, type=_Server)
-        _check_address(found.address)
+        server = msgspec.json.decode(value, type=_Server)
+        _check_address(server.address)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise ConfigurationError(
             str(error), field=id, remedy=_BACKEND_REMEDY
         ) from error
     return BackendRecord(
         id=id,
-        service=found.service,
-        address=found.address,
-        failure_domain=found.zone,
-        version=found.version,
-        capacity=max(1, found.slots),
-        leaving=found.state is _ServerState.DRAINING,
-        started_ms=max(0, found.born),
-        warmup_left_s=_parse_cold_left_s(found.cold_left_ms),
+        service=server.service,
+        address=server.address,
+        failure_domain=server.zone,
+        version=server.version,
+        capacity=max(1, server.slots),
+        leaving=server.state is _ServerState.DRAINING,
+        started_ms=max(0, server.born),
+        warmup_left_s=_parse_cold_left_s(server.cold_left_ms),
     )
 
 
@@ -347,26 +348,26 @@
 
 
 def _check_address(address: str) -> None:
-    """Raise `ValueError` unless this is an IP address and a port."""
+    """Raise `ValueError` unless the address is an IP address and a port."""
     host, _, port = address.rpartition(":")
     ipaddress.ip_address(host)
     if not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f"{port!r} is no port")
+        raise ValueError(f"port {port!r} is not between 1 and {MAX_PORT}")
 
 
 def decode_rollout_order(number: int, value: bytes) -> RolloutOrder:
-    """Decode an order to move a service to another version."""
-    found = msgspec.json.decode(value, type=_Order)
+    """Decode an order to roll out another version of a service."""
+    order = msgspec.json.decode(value, type=_Order)
     return RolloutOrder(
         number=number,
-        service=found.service,
-        target=found.target,
-        time_limit_s=found.deadline_s,
+        service=order.service,
+        target=order.target,
+        time_limit_s=order.deadline_s,
     )
 
 
 def encode_status(status: RolloutStatus) -> bytes:
-    """Encode how far a roll-out has come."""
+    """Encode the status of a roll-out."""
     return msgspec.json.encode(
         _Status(
             service=status.service,
@@ -379,12 +380,12 @@
 
 
 def decode_status(value: bytes) -> RolloutStatus:
-    """Decode how far a roll-out has come."""
-    found = msgspec.json.decode(value, type=_Status)
+    """Decode the status of a roll-out."""
+    status = msgspec.json.decode(value, type=_Status)
     return RolloutStatus(
-        service=found.service,
-        target=found.target,
-        state=found.state,
-        number=found.number,
-        elapsed_s=found.elapsed_s,
+        service=status.service,
+        target=status.target,
+        state=status.state,
+        number=status.number,
+        elapsed_s=status.elapsed_s,
     )
--- a/src/baobabthread/platform/settings.py
+++ b/src/baobabthread/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform fills in at each start."""
+"""The settings file that the platform writes before each start."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 class _Provider(msgspec.Struct, frozen=True, kw_only=True):
     address: str
-    """The store's address."""
+    """Address of the store."""
 
 
 class _Limits(msgspec.Struct, frozen=True, kw_only=True):
@@ -52,18 +52,18 @@
 
 class _File(msgspec.Struct, frozen=True, kw_only=True):
     node_name: str
-    """Name of the machine, not of a process."""
+    """Name of the machine; it is the same for each process started on it."""
     ip: str
     zone: str
     """The failure domain."""
     region: str = ""
     zones: dict[str, str] = {}
-    """Areas by failure domain."""
+    """Region by failure domain."""
     listen: _Listen
     internal_ports: list[int]
-    """First and last port that is free for traffic between instances."""
+    """First and last port available for traffic between instances."""
     seeds: list[str] = []
-    """Control addresses of other instances; they may be gone."""
+    """Control addresses of other instances, which may have terminated."""
     limits: _Limits = _Limits()
     guarantees: _Guarantees = _Guarantees()
     provider: _Provider
@@ -72,20 +72,23 @@
 def read_settings(path: str) -> InstanceSettings:
     """Read and check the settings file.
 
-    Raises `UsageError` that names the file and the field.
+    Raises `UsageError`, which names the file and the field, if it is not usable.
     """
     try:
         text = Path(path).read_bytes()
     except OSError as error:
         raise UsageError(
             f"can't read the settings file {path}: {error.strerror}",
-            remedy=f"let {PATH_VARIABLE} hold the path of a readable file",
+            remedy=f"set {PATH_VARIABLE} to the path of a readable file",
         ) from error
     return parse_settings(text, path)
 
 
 def parse_settings(text: bytes, path: str) -> InstanceSettings:
-    """Decode the settings file's text; unknown fields are passed over."""
+    """Decode the text of the settings file; unknown fields are ignored.
+
+    Raises `UsageError`, which names the file and the field, if it is not usable.
+    """
     try:
         file = msgspec.json.decode(text, type=_File)
     except msgspec.MsgspecError as error:
@@ -96,7 +99,7 @@
     if not file.internal_ports:
         raise UsageError(
             f"settings file {path}: `internal_ports` is empty",
-            remedy="name the first and the last port between instances",
+            remedy="set it to the first and the last port between instances",
         )
     return _translate(file)
 
--- a/src/baobabthread/platform/store.py
+++ b/src/baobabthread/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's metadata store."""
+"""Client of the platform's metadata store."""
 
 from __future__ import annotations
 
@@ -32,24 +32,24 @@
 MAX_RESPONSE_BYTES = 16_000_000
 MAX_READ_KB = 1024
 STALL_TIMEOUT_S = 0.6
-"""Silence after which an answer that has begun counts as broken off."""
+"""Time without data after which a response that has begun counts as broken off."""
 RESPONSE_TIMEOUT_S = 6.0
-"""Longest time for an answer that keeps coming: a configuration of two thousand routes
-takes a second over a link of 5 Mbit/s, a few of them in a row several."""
+"""Timeout for a response that keeps making progress: a configuration of two thousand
+routes takes one second over a 5 Mbit/s link, and several of them in a row take more."""
 LENGTH_BYTES = 4
 OFFSETS_BYTES = 16
 EMPTY_RECORD = b"\0"
-"""Content of a record without key and value."""
+"""Content of a record with neither key nor value."""
 
 T = TypeVar("T")
 PARTITION = 0
-"""The only partition of a topic that keeps the newest record of each key."""
+"""Keyed topics, which keep the newest record of each key, have a single partition."""
 
 
 class _Item(msgspec.Struct, kw_only=True):
     key: str
     value: str = ""
-    """In base64; empty where the key was dropped."""
+    """Base64; empty if the key was deleted."""
     offset: int
 
 
@@ -65,7 +65,7 @@
 
 
 class PlatformStore:
-    """Read and append records of keyed topics."""
+    """The platform's `Store`: reads and appends records of keyed topics."""
 
     __slots__ = ("_address", "_pool")
 
@@ -83,26 +83,26 @@
             if after is not None:
                 query["after"] = after
             body = await self._get("/-/log-newest", query, timeout_s)
-            found = _decode(body, _Newest)
+            page = _decode(body, _Newest)
             records.extend(
                 Record(
                     key=item.key,
                     value=base64.b64decode(item.value),
                     offset=item.offset,
                 )
-                for item in found.items
+                for item in page.items
             )
-            # Pages are no snapshot: only what the first one saw is surely complete,
-            # so reading goes on from there.
-            end = found.end_offset if end is None else min(end, found.end_offset)
-            if not found.has_more or not found.items:
+            # Pages are not a consistent snapshot: only records up to the end seen by
+            # the first page are surely included, so reading continues from there.
+            end = page.end_offset if end is None else min(end, page.end_offset)
+            if not page.has_more or not page.items:
                 return Page(records=records, end=end)
-            after = found.items[-1].key
+            after = page.items[-1].key
 
     async def read(
         self, topic: str, start: int, *, wait_s: float, timeout_s: float
     ) -> Tail | Trimmed:
-        """Return the records from an offset on, or that they are gone."""
+        """Return the records from an offset on, or `Trimmed` if they are deleted."""
         query = {
             "topic": topic,
             "part": PARTITION,
@@ -116,7 +116,7 @@
         return _decode_tail(_expect_ok(response), start)
 
     async def append(self, append: Append, timeout_s: float) -> Appended | Conflict:
-        """Append one keyed record where the topic ends as expected."""
+        """Append one keyed record if the topic ends at the expected offset."""
         key = append.key.encode()
         record = bytes([len(key)]) + key + append.value
         body = struct.pack(">I", len(record)) + record
@@ -125,13 +125,13 @@
             "part": PARTITION,
             "at": append.expected_end,
         }
-        answer = await self._call("POST", "/-/log-append", query, body, timeout_s)
-        if answer.status in (409, 412):
+        response = await self._call("POST", "/-/log-append", query, body, timeout_s)
+        if response.status in (409, 412):
             return Conflict()
-        return Appended(end=_decode(_expect_ok(answer), _Appended).end_offset)
+        return Appended(end=_decode(_expect_ok(response), _Appended).end_offset)
 
     def close(self) -> None:
-        """Close what is idle."""
+        """Close the idle connections."""
         self._pool.close()
 
     async def _get(
@@ -154,30 +154,30 @@
             async with asyncio.timeout(timeout_s):
                 connection = await self._pool.send(head, body)
                 response: Response = await self._pool.receive(connection)
-            answer = await _read_body(response)
+            content = await _read_body(response)
             response.finish()
             connection = None
         except (IncompleteResponseError, NotSentError, TimeoutError) as error:
-            raise StoreError(f"{path}: {error or 'no answer in time'}") from error
+            raise StoreError(f"{path}: {error or 'response timed out'}") from error
         finally:
             if connection is not None:
                 self._pool.discard(connection)
-        return _StoreResponse(status=response.status, body=answer)
+        return _StoreResponse(status=response.status, body=content)
 
 
 async def _read_body(response: Response) -> bytes:
-    """Return the body of an answer as long as it keeps coming.
+    """Read the body of a response for as long as it makes progress.
 
-    With one bound for the whole answer an instance on a slow link never gets a large
-    configuration: it breaks off, asks again and fills its link with the same bytes,
-    while it goes on with the configuration before.
+    With only one timeout for the whole response, an instance on a slow link would
+    never receive a large configuration: it would abort, retry and fill its link with
+    the same bytes while it keeps serving the previous configuration.
     """
     chunks = []
     size = 0
     async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         while True:
-            # `wait_for` loses a cancellation that meets the answer: the reader goes on
-            # for good, and a process that was told to stop never ends.
+            # `wait_for` can swallow a cancellation that coincides with the result: the
+            # reader would run on, and a stopping process would never exit.
             async with asyncio.timeout(STALL_TIMEOUT_S):
                 chunk = await response.read_chunk()
             if not chunk:
@@ -185,7 +185,9 @@
             chunks.append(chunk)
             size += len(chunk)
             if size > MAX_RESPONSE_BYTES:
-                raise IncompleteResponseError("answer too large")
+                raise IncompleteResponseError(
+                    f"response exceeds {MAX_RESPONSE_BYTES} bytes"
+                )
     return b"".join(chunks)
 
 
@@ -194,22 +196,24 @@
     body: bytes
 
 
-def _expect_ok(answer: _StoreResponse) -> bytes:
-    if answer.status != 200:
-        raise StoreError(f"status {answer.status}")
-    return answer.body
+def _expect_ok(response: _StoreResponse) -> bytes:
+    if response.status != 200:
+        raise StoreError(f"unexpected status {response.status}")
+    return response.body
 
 
-def _decode(body: bytes, form: type[T]) -> T:
+def _decode(body: bytes, message_type: type[T]) -> T:
     try:
-        return msgspec.json.decode(body, type=form)
+        return msgspec.json.decode(body, type=message_type)
     except msgspec.MsgspecError as error:
-        raise StoreError(f"answer can't be decoded: {error}") from error
+        raise StoreError(f"response can't be decoded: {error}") from error
 
 
 def _decode_tail(body: bytes, start: int) -> Tail:
     if len(body) < OFFSETS_BYTES:
-        raise StoreError("answer is shorter than its offsets")
+        raise StoreError(
+            f"response truncated: got {len(body)} of {OFFSETS_BYTES} bytes of offsets"
+        )
     end, _first = struct.unpack_from(">QQ", body)
     records = []
     position = OFFSETS_BYTES
@@ -219,15 +223,17 @@
         position += LENGTH_BYTES
         content = body[position : position + length]
         if len(content) < length:
-            raise StoreError("answer ends within a record")
+            raise StoreError(
+                f"response truncated: got {len(content)} of {length} bytes of a record"
+            )
         position += length
-        # Another writer's record may lack even the length of a key.
+        # A record of another writer may lack even the byte with the key's length.
         content = content or EMPTY_RECORD
-        cut = 1 + content[0]
+        key_end = 1 + content[0]
         records.append(
             Record(
-                key=content[1:cut].decode(errors="replace"),
-                value=content[cut:],
+                key=content[1:key_end].decode(errors="replace"),
+                value=content[key_end:],
                 offset=offset,
             )
         )
--- a/tests/platform/crashes.py
+++ b/tests/platform/crashes.py
@@ -1,4 +1,4 @@
-"""Places whose backend servers crash under a request and start again."""
+"""Backend servers that crash under a request and restart."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from tests.platform.site import Site
 
 CRASH_MARK = b"crash"
-"""Part of the bodies under which backend servers crash."""
+"""Substring of request bodies under which the backend servers crash."""
 RESTART_DELAY_S = 0.5
-"""Time after which the next start listens at the same address."""
+"""Time from a crash until the next process listens on the same address."""
 RECORD_EXPIRY_S = 1.0
-"""Time after which the record of the start that crashed is gone."""
+"""Time from a crash until the record of the crashed process is removed."""
 
 
 class Crash:
-    """Hold one crash: when it came, and which bodies were there to begin."""
+    """The crash of one backend server, and its time."""
 
     def __init__(self, backend: str, at: float) -> None:
         self.backend = backend
@@ -26,31 +26,31 @@
 
 
 class RestartingBackends:
-    """Keep a number of backend servers up, and note what reaches them."""
+    """Restarts backend servers after crashes and records the requests they receive."""
 
     def __init__(self, site: Site, **settings: Any) -> None:
         self._site = site
         self._settings = settings
         self._tasks: set[asyncio.Task[None]] = set()
         self.arrivals: list[tuple[float, bytes]] = []
-        """When a request reached a server that would run it, and its body."""
+        """Arrival time and body of each request that a server executes."""
         self.crashes: list[Crash] = []
         self.crash_on = CRASH_MARK
         self.crash_account = ""
         self.work_s = 0.02
 
     async def add(self, id: str) -> FakeBackend:
-        """Open one place more."""
+        """Start one more backend server."""
         return await self._start(id, 0)
 
     async def close(self) -> None:
-        """Bring no server back any more."""
+        """Cancel all pending restarts."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def count_arrivals(self, mark: bytes, since: float) -> int:
-        """Return how many requests with a mark arrived after a moment."""
+        """Return how many requests with a mark arrived after a time."""
         return sum(mark in body and at > since for at, body in self.arrivals)
 
     async def _start(self, id: str, port: int) -> FakeBackend:
@@ -58,28 +58,28 @@
         backend.crash_on = self.crash_on
         backend.crash_account = self.crash_account
         backend.pause_s = self.work_s
-        backend.on_arrival = self._note
-        backend.on_crash = self._take_crash
+        backend.on_arrival = self._record_arrival
+        backend.on_crash = self._handle_crash
         await backend.start(port)
         self._site.backends.append(backend)
         self._site.store.put(BACKENDS, id, backend.record)
         return backend
 
-    def _note(
+    def _record_arrival(
         self, backend: FakeBackend, seen: ReceivedRequest, executed: bool
     ) -> None:
         if executed:
             self.arrivals.append((_now(), seen.body))
 
-    def _take_crash(self, backend: FakeBackend) -> None:
+    def _handle_crash(self, backend: FakeBackend) -> None:
         self.crashes.append(Crash(backend.id, _now()))
-        self._tasks.add(asyncio.ensure_future(self._bring_back(backend)))
+        self._tasks.add(asyncio.ensure_future(self._restart(backend)))
 
-    async def _bring_back(self, backend: FakeBackend) -> None:
+    async def _restart(self, backend: FakeBackend) -> None:
         await asyncio.sleep(RESTART_DELAY_S)
-        place, _, number = backend.id.partition("-")
+        name, _, number = backend.id.partition("-")
         port = int(backend.address.rpartition(":")[2])
-        await self._start(f"{place}-{int(number or 1) + 1}", port)
+        await self._start(f"{name}-{int(number or 1) + 1}", port)
         await asyncio.sleep(RECORD_EXPIRY_S - RESTART_DELAY_S)
         self._site.store.put(BACKENDS, backend.id, b"")
 
--- a/tests/platform/fakecallers.py
+++ b/tests/platform/fakecallers.py
@@ -1,4 +1,4 @@
-"""Callers on real sockets, and the answers that they see."""
+"""Callers on real sockets, and the responses that they receive."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class CallerResponse:
-    """Hold an answer as a caller saw it."""
+    """A response as a caller received it."""
 
     def __init__(self, status: int, headers: dict[str, str], body: bytes) -> None:
         self.status = status
@@ -23,18 +23,18 @@
 
     @property
     def event_ids(self) -> list[int]:
-        """Give the ids of the whole events."""
-        return [int(found.group(1)) for found in EVENT.finditer(self.body)]
+        """The ids of the complete events."""
+        return [int(match.group(1)) for match in EVENT.finditer(self.body)]
 
     @property
     def stray_bytes(self) -> bytes:
-        """Give what belongs to no whole event; also a cut answer ends with one."""
-        at = 0
-        for found in EVENT.finditer(self.body):
-            if found.start() > at:
+        """Bytes after the leading complete events; even a cut response has none."""
+        end = 0
+        for match in EVENT.finditer(self.body):
+            if match.start() > end:
                 break
-            at = found.end()
-        return self.body[at:]
+            end = match.end()
+        return self.body[end:]
 
 
 async def call(
@@ -47,7 +47,7 @@
     key: str | None = KEY,
     **fields: str,
 ) -> CallerResponse:
-    """Send one request on a connection of its own and read the answer."""
+    """Send one request on a connection of its own and read the response."""
     ip, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(ip, int(port))
     writer.write(
@@ -65,23 +65,23 @@
     "X_Prompt_Prefix": "aa:50,bb:30,cc:20",
     "X_Length_Hint": "10",
 }
-"""What a caller states of a request that a model answers with events."""
+"""Header fields of a request that a model answers with an event stream."""
 SendRequest = Callable[..., Awaitable[CallerResponse]]
 
 
 @contextlib.asynccontextmanager
 async def open_connection(address: str) -> AsyncIterator[SendRequest]:
-    """Open a connection that is kept; give what asks a model over it."""
+    """Open a persistent connection; yield a function that sends model requests."""
     ip, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(ip, int(port))
 
-    async def ask(path: str, **more: str) -> CallerResponse:
+    async def send_request(path: str, **more: str) -> CallerResponse:
         fields = MODEL_FIELDS | more
         writer.write(render_request(path, method="POST", body=b"{}", **fields))
         return await read_response(reader)
 
     try:
-        yield ask
+        yield send_request
     finally:
         writer.close()
 
@@ -95,7 +95,7 @@
     key: str | None = KEY,
     **fields: str,
 ) -> bytes:
-    """Return a request as it goes on the wire."""
+    """Return a request encoded for the wire."""
     headers = {"Host": host, "X-Attempt-Id": "a1", "X-Timeout-Ms": "5000"}
     if key is not None:
         headers["Authorization"] = f"Token {key}"
@@ -108,29 +108,29 @@
 
 
 async def read_response(reader: asyncio.StreamReader) -> CallerResponse:
-    """Read one answer; `whole` tells whether it came to its end."""
+    """Read one response; `is_complete` tells whether it was received to its end."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
-    line, *rows = head.strip().split("\r\n")
+    line, *fields = head.strip().split("\r\n")
     headers = {
         name.lower(): value.strip()
-        for name, _, value in (row.partition(":") for row in rows)
+        for name, _, value in (field.partition(":") for field in fields)
     }
-    found = CallerResponse(int(line.split(" ")[1]), headers, b"")
+    response = CallerResponse(int(line.split(" ")[1]), headers, b"")
     try:
         if headers.get("transfer-encoding") == "chunked":
-            await _read_chunks(reader, found)
+            await _read_chunks(reader, response)
         else:
             length = int(headers.get("content-length", "0"))
-            found.body = await reader.readexactly(length)
+            response.body = await reader.readexactly(length)
     except (asyncio.IncompleteReadError, ConnectionError):
-        found.is_complete = False
-    return found
+        response.is_complete = False
+    return response
 
 
-async def _read_chunks(reader: asyncio.StreamReader, found: CallerResponse) -> None:
+async def _read_chunks(reader: asyncio.StreamReader, response: CallerResponse) -> None:
     while True:
         size = int((await reader.readuntil(b"\r\n")).strip(), 16)
         data = await reader.readexactly(size + 2)
         if not size:
             return
-        found.body += data[:-2]
+        response.body += data[:-2]
--- a/tests/platform/fakes.py
+++ b/tests/platform/fakes.py
@@ -1,4 +1,4 @@
-"""Stand-ins of backend servers that answer well or in one of many bad ways."""
+"""Fake backend servers with selectable faults."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ReceivedRequest:
-    """Hold one request as a backend server saw it."""
+    """A request as a fake backend server received it."""
 
     def __init__(self, method: str, target: str, headers: dict[str, str]) -> None:
         self.method = method
@@ -21,9 +21,9 @@
         self.headers = headers
         self.body = b""
         self.was_aborted = False
-        """Whether the caller closed its connection while the answer was made."""
+        """Whether the client closed its connection before the response was complete."""
         self.cold_left_s = 0.0
-        """How long the server says that it stays cold, in its answer."""
+        """Remaining warm-up time that the response reports, in seconds."""
 
 
 Behaviour = Callable[
@@ -31,23 +31,23 @@
 ]
 OnCrash = Callable[["FakeBackend"], None]
 OnArrival = Callable[["FakeBackend", ReceivedRequest, bool], None]
-"""Take in a request that arrived, and whether it is executed."""
+"""Called with each request on arrival, and whether it is executed."""
 NOT_EXECUTED = ("shed", "misdirected")
 BEHAVIOURS: dict[str, Behaviour] = {}
 
 
 def register_behaviour(name: str) -> Callable[[Behaviour], Behaviour]:
-    """Enter a way to answer under a name."""
+    """Register a behaviour under a name."""
 
-    def enter(behaviour: Behaviour) -> Behaviour:
+    def register(behaviour: Behaviour) -> Behaviour:
         BEHAVIOURS[name] = behaviour
         return behaviour
 
-    return enter
+    return register
 
 
 class FakeBackend:
-    """Answer requests on real sockets, well or in one of many bad ways."""
+    """Backend server on real sockets that responds according to its `behaviour`."""
 
     def __init__(
         self,
@@ -66,22 +66,22 @@
         self.zone = zone
         self.cold_until = time.monotonic() + cold_s
         self.cold_arrivals: list[float] = []
-        """When requests came while it was cold."""
+        """Arrival times of requests that arrived while it was cold."""
         self.reports_cold = False
-        """Whether its answers say how long it stays cold."""
+        """Whether its responses report the remaining warm-up time."""
         self.behaviour = "answer"
         self.confidence: dict[str, int] = {}
-        """By model; 100 where it is missing."""
+        """Confidence of responses by model; 100 for models not listed."""
         self.events = 3
         self.pause_s = 0.0
         self.seen: list[ReceivedRequest] = []
         self.on_arrival: OnArrival = lambda backend, seen, executed: None
         self.crash_on = b""
-        """Part of a body under which it crashes; none where empty."""
+        """Substring of request bodies that crash the server; empty for none."""
         self.crash_account = ""
-        """Account whose requests it crashes under; those of all where empty."""
+        """Only requests of this account crash the server; empty for all accounts."""
         self.crash_s = 0.03
-        """Time from the begin of such a request to the crash."""
+        """Delay from the start of such a request to the crash."""
         self.is_down = False
         self.on_crash: OnCrash = lambda backend: None
         self.address = ""
@@ -90,7 +90,7 @@
 
     @property
     def record(self) -> dict[str, object]:
-        """Give its record in the store."""
+        """The server's record in the store."""
         return {
             "service": self.service,
             "address": self.address,
@@ -104,20 +104,20 @@
 
     @property
     def cold_left_s(self) -> float:
-        """Give how much longer it is cold."""
+        """The remaining warm-up time in seconds."""
         return max(0.0, self.cold_until - time.monotonic())
 
     def become_cold(self, seconds: float) -> None:
-        """Become cold, as after a start."""
+        """Make the server cold, as after a start."""
         self.cold_until = time.monotonic() + seconds
 
     def count_peak_cold_arrivals(self) -> int:
-        """Return the most requests that came within one second while it was cold."""
+        """Return the highest number of requests within any second of its warm-up."""
         times = sorted(self.cold_arrivals)
         return max((sum(t <= u < t + 1.0 for u in times) for t in times), default=0)
 
     async def start(self, port: int = 0) -> FakeBackend:
-        """Listen at a port, a free one where none is named."""
+        """Listen on a port; 0 picks a free one."""
         host, port = self._network.give_host(1), port or self._network.give_port()
         self._server = await asyncio.start_server(self._serve, host, port)
         self.address = f"{host}:{port}"
@@ -129,7 +129,7 @@
         self._server.close()
 
     def crash(self) -> None:
-        """End at once: nothing listens any more, and every connection breaks."""
+        """Stop listening and reset every connection, as when the process dies."""
         if self.is_down:
             return
         self.is_down = True
@@ -144,8 +144,8 @@
         return bool(self.crash_on) and self.crash_on in seen.body
 
     def _choose_behaviour(self, seen: ReceivedRequest) -> str:
-        asked_for = seen.headers.get("x-target-instance", self.id)
-        if asked_for != self.id:
+        target = seen.headers.get("x-target-instance", self.id)
+        if target != self.id:
             return "misdirected"
         return "crash" if self._crashes_under(seen) else self.behaviour
 
@@ -191,7 +191,7 @@
 
 
 def render_response_head(seen: ReceivedRequest, status: int, **more: str) -> bytes:
-    """Return the head of an answer that belongs to a request."""
+    """Return the head of the response to a request."""
     fields = {"X-Attempt-Id": seen.headers.get("x-attempt-id", "")}
     if status < 300 or status >= 500:
         fields["X-Response-Signature"] = SIGNATURE
@@ -204,10 +204,10 @@
 
 
 @register_behaviour("answer")
-async def answer(
+async def respond(
     backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    """Answer whole; as events where a model is asked."""
+    """Send a complete response; an event stream if the request names a model."""
     await asyncio.sleep(backend.pause_s)
     if "x-model" in seen.headers:
         await stream(backend, seen, writer)
@@ -223,7 +223,7 @@
     *,
     cut: int = -1,
 ) -> None:
-    """Send events after the last one that the caller has; break off within one."""
+    """Send the events after the last received one; reset within event `cut`."""
     model = seen.headers["x-model"]
     confidence = str(backend.confidence.get(model, 100))
     writer.write(
@@ -258,7 +258,7 @@
 async def cut_stream(
     backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    """Break off within the second event."""
+    """Reset the connection within the second event."""
     await stream(backend, seen, writer, cut=2)
 
 
@@ -266,7 +266,7 @@
 async def fail(
     backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    """Run the request and fail."""
+    """Execute the request and respond with a failure."""
     body = b"own failure"
     writer.write(render_response_head(seen, 500, Content_Length=str(len(body))) + body)
 
@@ -275,7 +275,7 @@
 async def shed(
     backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    """Refuse without running it."""
+    """Reject the request without executing it."""
     writer.write(
         render_response_head(seen, 503, X_Not_Executed="1", Content_Length="0")
     )
@@ -285,15 +285,15 @@
 async def misdirect(
     backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    """Refuse what was meant for another backend server that had this address."""
+    """Reject a request for another backend server that had this address before."""
     writer.write(render_response_head(seen, 421, Content_Length="0"))
 
 
 @register_behaviour("mute")
-async def stay_mute(
+async def never_respond(
     backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    """Run it and never answer."""
+    """Execute the request and never respond."""
     await asyncio.sleep(30)
 
 
@@ -301,7 +301,7 @@
 async def cut(
     backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    """Break off in the middle of the body."""
+    """Reset the connection in the middle of the body."""
     writer.write(render_response_head(seen, 200, Content_Length="100") + b"half")
     await writer.drain()
     writer.transport.abort()
@@ -321,38 +321,38 @@
 
 
 @register_behaviour("unframed")
-async def answer_unframed(
+async def respond_unframed(
     backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    """Send a whole body that ends with its connection."""
+    """Send a complete body without a length that ends as the connection closes."""
     writer.write(render_response_head(seen, 200) + b"whole body")
     await writer.drain()
     writer.close()
 
 
 @register_behaviour("extra")
-async def answer_twice(
+async def respond_twice(
     backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    """Send another answer behind a whole one."""
-    await answer(backend, seen, writer)
+    """Send a second response after a complete one."""
+    await respond(backend, seen, writer)
     writer.write(render_response_head(seen, 200, Content_Length="5") + b"stray")
 
 
 @register_behaviour("other_id")
-async def answer_other(
+async def respond_to_other(
     backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    """Send the answer of another request."""
+    """Send the response to another request."""
     other = ReceivedRequest("GET", "/", {"x-attempt-id": "of-somebody-else"})
     writer.write(render_response_head(other, 200, Content_Length="5") + b"other")
 
 
 @register_behaviour("unsigned")
-async def answer_unsigned(
+async def respond_unsigned(
     backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    """Claim success without a signature."""
+    """Respond with success but without a signature."""
     id = seen.headers["x-attempt-id"]
     writer.write(
         f"HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nContent-Length: 2\r\n\r\nok".encode()
@@ -363,7 +363,7 @@
 async def crash_under(
     backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    """Begin to run it, with the head of a stream where it is one, and crash."""
+    """Start the request, send a first event if it is a stream, and crash."""
     if "x-model" in seen.headers:
         head = render_response_head(
             seen,
--- a/tests/platform/fakestore.py
+++ b/tests/platform/fakestore.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store, with faults."""
+"""A fake of the platform's store, with selectable faults."""
 
 from __future__ import annotations
 
@@ -19,21 +19,22 @@
 
 
 class FakeStore:
-    """Keep topics in memory and answer as the platform's store does."""
+    """Keeps topics in memory and serves the platform store's HTTP interface."""
 
     def __init__(self, *, network: LoopbackNetwork | None = None) -> None:
         self._network = network or own_network()
         self.topics: dict[str, list[tuple[str, bytes]]] = {}
         self.first_offsets: dict[str, int] = {}
+        """First offset that is still available, by topic; 0 for topics not listed."""
         self.fault = ""
         """One of busy, silent, lost, trickle; empty for none."""
         self.calls: list[str] = []
-        self._grown = asyncio.Event()
+        self._appended = asyncio.Event()
         self._server: asyncio.Server | None = None
         self.address = ""
 
     async def start(self) -> FakeStore:
-        """Listen at a free port."""
+        """Listen on a free port."""
         loop = asyncio.get_running_loop()
         host, port = self._network.give_host(1), self._network.give_port()
         self._server = await loop.create_server(web.Server(self._serve), host, port)
@@ -50,19 +51,19 @@
         raw = value if isinstance(value, bytes) else json.dumps(value).encode()
         records = self.topics.setdefault(topic, [])
         records.append((key, raw))
-        self._grown.set()
-        self._grown = asyncio.Event()
+        self._appended.set()
+        self._appended = asyncio.Event()
         return len(records) - 1
 
     def newest(self, topic: str) -> dict[str, tuple[bytes, int]]:
-        """Return the newest value of each key, and its offset."""
-        found: dict[str, tuple[bytes, int]] = {}
+        """Return the newest value of each key that is not deleted, and its offset."""
+        latest: dict[str, tuple[bytes, int]] = {}
         for offset, (key, value) in enumerate(self.topics.get(topic, [])):
-            found[key] = (value, offset)
-        return {key: item for key, item in found.items() if item[0]}
+            latest[key] = (value, offset)
+        return {key: item for key, item in latest.items() if item[0]}
 
     def status(self, service: str) -> dict[str, Any]:
-        """Return what was written of a service's roll-out."""
+        """Return the stored status of a service's roll-out; empty if there is none."""
         value, _ = self.newest(STATUS).get(f"rollout/{service}", (b"{}", 0))
         return dict(json.loads(value))
 
@@ -74,22 +75,22 @@
             return web.Response(status=503)
         query = request.query
         if request.path == "/-/log-newest":
-            answer = self._answer_newest(query["topic"])
+            response = self._serve_newest(query["topic"])
         elif request.path == "/-/log-read":
-            answer = await self._answer_read(query)
+            response = await self._serve_read(query)
         else:
-            return await self._answer_append(query, await request.read())
+            return await self._serve_append(query, await request.read())
         if self.fault == "trickle":
-            return await self._trickle(request, answer)
-        return answer
+            return await self._trickle(request, response)
+        return response
 
     async def _trickle(
-        self, request: web.BaseRequest, answer: web.Response
+        self, request: web.BaseRequest, response: web.Response
     ) -> web.StreamResponse:
-        """Send an answer in pieces, as a slow link does: 1.2 s for all of it."""
-        body = answer.body
+        """Send a response in pieces over 1.2 s in total, as over a slow link."""
+        body = response.body
         assert isinstance(body, bytes)
-        slow = web.StreamResponse(status=answer.status)
+        slow = web.StreamResponse(status=response.status)
         slow.content_length = len(body)
         await slow.prepare(request)
         size = max(1, len(body) // 12)
@@ -98,15 +99,15 @@
             await slow.write(body[start : start + size])
         return slow
 
-    def _answer_newest(self, topic: str) -> web.Response:
+    def _serve_newest(self, topic: str) -> web.Response:
         items = [
-            {"key": k, "value": base64.b64encode(v).decode(), "offset": offset}
-            for k, (v, offset) in self.newest(topic).items()
+            {"key": key, "value": base64.b64encode(value).decode(), "offset": offset}
+            for key, (value, offset) in self.newest(topic).items()
         ]
         end = len(self.topics.get(topic, []))
         return web.json_response({"items": items, "has_more": False, "end_offset": end})
 
-    async def _answer_read(self, query: Any) -> web.Response:
+    async def _serve_read(self, query: Any) -> web.Response:
         topic, start = query["topic"], int(query["from"])
         if start < self.first_offsets.get(topic, 0):
             return web.json_response(
@@ -114,9 +115,9 @@
             )
         wait_s = int(query.get("wait_ms", 0)) / 1000
         if wait_s and start >= len(self.topics.get(topic, [])):
-            grown = self._grown
+            appended = self._appended
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(grown.wait(), wait_s)
+                await asyncio.wait_for(appended.wait(), wait_s)
         records = self.topics.get(topic, [])
         body = struct.pack(">QQ", len(records), self.first_offsets.get(topic, 0))
         for key, value in records[start:]:
@@ -124,15 +125,15 @@
             body += struct.pack(">I", len(content)) + content
         return web.Response(body=body)
 
-    async def _answer_append(self, query: Any, body: bytes) -> web.StreamResponse:
+    async def _serve_append(self, query: Any, body: bytes) -> web.StreamResponse:
         topic = query["topic"]
         end = len(self.topics.get(topic, []))
         if "at" in query and int(query["at"]) != end:
             return web.json_response({"end_offset": end}, status=412)
         (length,) = struct.unpack_from(">I", body)
         content = body[4 : 4 + length]
-        cut = 1 + content[0]
-        self.put(topic, content[1:cut].decode(), content[cut:])
+        key_end = 1 + content[0]
+        self.put(topic, content[1:key_end].decode(), content[key_end:])
         if self.fault == "lost":
             await asyncio.sleep(30)
         return web.json_response({"offset": end, "end_offset": end + 1})
--- a/tests/platform/site.py
+++ b/tests/platform/site.py
@@ -1,4 +1,4 @@
-"""A small installation in one process: a store, backend servers, instances."""
+"""A small installation in one process: a store, backend servers and instances."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 
 def run(case: Coroutine[Any, Any, None]) -> None:
-    """Run one case within a time that tells a hang from a slow machine."""
+    """Run one test case with a timeout long enough to tell a hang from a slow host."""
     asyncio.run(asyncio.wait_for(case, 40))
 
 
 def route(prefix: str, kind: str, **more: object) -> dict[str, object]:
-    """Return a route as the operators write it."""
+    """Return a route in the operators' format."""
     return {
         "name": prefix.strip("/"),
         "host": HOST,
@@ -50,7 +50,7 @@
 
 
 def make_configuration(version: int = 1, **more: object) -> dict[str, object]:
-    """Return a configuration as the operators write it."""
+    """Return a configuration in the operators' format."""
     engine = {"service": "engine", "sticky": True, "sizes": MODELS}
     return {
         "version": version,
@@ -72,7 +72,7 @@
 
 
 class Site:
-    """Hold the parts of an installation and find them by name."""
+    """The parts of an installation: the store, backend servers and instances."""
 
     def __init__(self, store: FakeStore) -> None:
         self.store = store
@@ -81,7 +81,7 @@
         self.backends: list[FakeBackend] = []
         self.stacks: list[contextlib.AsyncExitStack] = []
         self.zones = {"a": "north", "b": "north", "c": "south", "d": "east"}
-        """Areas by failure domain."""
+        """Region by failure domain."""
         self.gossip_port = own_network().give_port()
 
     def configure(self, version: int = 1, **more: object) -> None:
@@ -89,18 +89,18 @@
         self.store.put(OPERATORS, "config", make_configuration(version, **more))
 
     async def add_backend(self, id: str, **settings: Any) -> FakeBackend:
-        """Start a backend server and enter it into the store."""
+        """Start a backend server and write its record to the store."""
         backend = await FakeBackend(id, **settings).start()
         self.backends.append(backend)
         self.store.put(BACKENDS, id, backend.record)
         return backend
 
     def evacuate(self, zone: str) -> None:
-        """Ask that a zone's backend servers get nothing more."""
+        """Order the evacuation of a zone."""
         self.store.put(OPERATORS, f"evacuate/{zone}", {})
 
     def end_evacuation(self, zone: str) -> None:
-        """Open a zone again."""
+        """Withdraw the evacuation of a zone."""
         self.store.put(OPERATORS, f"evacuate/{zone}", b"")
 
     async def add_instance(
@@ -111,9 +111,9 @@
         off: DisabledMechanisms = NONE_DISABLED,
         zone: str = "a",
     ) -> int:
-        """Start an instance, some mechanisms switched off; return its index."""
+        """Start an instance, with some mechanisms disabled; return its index."""
         ports = own_network().give_ports(4)
-        # The last byte names the host; the network is this run's own.
+        # Only the last byte of the address is used: each test run has its own network.
         ip = own_network().give_host(int(ip.rpartition(".")[2]))
         text = {
             "node_name": name,
@@ -151,17 +151,17 @@
         self.stacks.append(stack)
         return len(self.instances) - 1
 
-    def control_port(self, fresh: int) -> int:
-        """Return the control port, which is the same at all instances."""
-        return self.settings[0].control_port if self.settings else fresh
+    def control_port(self, default: int) -> int:
+        """Return the control port, which is the same on all instances."""
+        return self.settings[0].control_port if self.settings else default
 
     async def wait_ready(self, index: int = 0) -> None:
-        """Wait until an instance serves and knows all backend servers."""
-        knowledge = self.instances[index].replica
+        """Wait until an instance is ready and knows all backend servers."""
+        replica = self.instances[index].replica
         await wait_for(
             lambda: (
                 self.instances[index].is_ready
-                and len(knowledge.backends) >= len(self.backends)
+                and len(replica.backends) >= len(self.backends)
             )
         )
         await asyncio.sleep(0.15)
@@ -171,18 +171,18 @@
         return await call(self.settings[index].callers_address, path, **more)
 
     async def call_model(self, path: str = "/stream/x", **more: Any) -> CallerResponse:
-        """Send a request that a model answers with events."""
+        """Send a request that a model answers with an event stream."""
         fields = MODEL_FIELDS | more
         return await self.call(path, method="POST", body=b"{}", **fields)
 
 
 async def wait_for(condition: Any, seconds: float = READY_TIMEOUT_S) -> None:
-    """Wait until something holds; fail when it doesn't in time."""
+    """Poll until a condition is true; fail after `seconds`."""
     for _ in range(int(seconds / 0.02)):
         if condition():
             return
         await asyncio.sleep(0.02)
-    raise AssertionError("it did not come to hold in time")
+    raise AssertionError(f"condition was not met within {seconds:g} s")
 
 
 @contextlib.asynccontextmanager
@@ -191,10 +191,10 @@
     off: DisabledMechanisms = NONE_DISABLED,
     **more: object,
 ) -> AsyncIterator[Site]:
-    """Open an installation with one instance that is ready.
+    """Open an installation with one ready instance.
 
-    Backend servers are named by their service, a number and, if another than `a`, `@`
-    and their failure domain; `more` goes into the configuration.
+    Backend servers are given as the initial of their service and a number, followed by
+    `@` and their failure domain unless it is `a`. `more` is added to the configuration.
     """
     site = Site(await FakeStore().start())
     try:
--- a/tests/platform/test_crashes.py
+++ b/tests/platform/test_crashes.py
@@ -1,4 +1,4 @@
-"""A request under which backend servers crash, at several instances."""
+"""Quarantine of a request that crashes backend servers, across several instances."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from tests.platform.fakestore import OPERATORS, STATUS
 from tests.platform.site import Site, open_site, run, wait_for
 
-CONTACT_S = 3.0
-"""Time after the third crash from which on every instance must know."""
-MOST_LATER = 3
-"""Times that such a request may still reach a server after that."""
+PROPAGATION_S = 3.0
+"""Time after the third crash by which every instance must quarantine the request."""
+MAX_LATE_ARRIVALS = 3
+"""Number of times that the request may still reach a server after that."""
 ROUNDS = 14
 ROUND_S = 0.6
 OTHER_KEY = "key-of-malls"
@@ -39,27 +39,27 @@
 async def open_restarting_backends(
     *, service: str, servers: int = 4, instances: int = 3, crash_account: str = ""
 ) -> AsyncIterator[tuple[Site, RestartingBackends]]:
-    """Open several instances before places whose servers come back after a crash."""
+    """Open several instances with backend servers that restart after a crash."""
     async with open_site() as site:
         site.configure(2, tenants=TENANTS)
-        places = RestartingBackends(site, service=service)
-        places.crash_account = crash_account
+        backends = RestartingBackends(site, service=service)
+        backends.crash_account = crash_account
         try:
             for number in range(servers):
-                await places.add(f"{service[0]}{number}")
+                await backends.add(f"{service[0]}{number}")
             for number in range(2, instances + 1):
                 await site.add_instance(f"i{number}", ip=f"127.0.0.{number}")
             for index in range(instances):
                 await site.wait_ready(index)
-            yield site, places
+            yield site, backends
         finally:
-            await places.close()
+            await backends.close()
 
 
-async def ask(
+async def send(
     site: Site, path: str, body: bytes, *, index: int = 0, key: str | None = KEY
 ) -> CallerResponse | None:
-    """Send a request; return nothing where its connection ends without an answer."""
+    """Send a request; return None if its connection closes without a response."""
     fields: dict[str, str] = {}
     if path.startswith(("/stream", "/once")):
         fields = ENGINE_FIELDS
@@ -69,37 +69,39 @@
     return None
 
 
-async def ask_often(
+async def send_repeatedly(
     site: Site, path: str, *, rounds: int = ROUNDS, at_once: int = 1, **more: Any
 ) -> list[CallerResponse | None]:
-    """Send the same request again and again, each time to another instance."""
-    answers: list[CallerResponse | None] = []
+    """Send the crashing request in rounds, each round to another instance."""
+    responses: list[CallerResponse | None] = []
     for number in range(rounds):
-        began = time.monotonic()
+        started_at = time.monotonic()
         index = number % len(site.instances)
-        answers += await asyncio.gather(
-            *(ask(site, path, CRASH_MARK, index=index, **more) for _ in range(at_once))
+        responses += await asyncio.gather(
+            *(send(site, path, CRASH_MARK, index=index, **more) for _ in range(at_once))
         )
-        await asyncio.sleep(max(0.0, ROUND_S - (time.monotonic() - began)))
-    return answers
+        await asyncio.sleep(max(0.0, ROUND_S - (time.monotonic() - started_at)))
+    return responses
 
 
-def check_stopped(places: RestartingBackends) -> None:
-    """Check that the request reached hardly any server once it was known."""
-    assert len(places.crashes) >= 3
-    third = places.crashes[2].at
-    assert places.count_arrivals(CRASH_MARK, third + CONTACT_S) <= MOST_LATER
+def check_stopped(backends: RestartingBackends) -> None:
+    """Check that the request hardly reached any server once it was quarantined."""
+    assert len(backends.crashes) >= 3
+    third = backends.crashes[2].at
+    assert (
+        backends.count_arrivals(CRASH_MARK, third + PROPAGATION_S) <= MAX_LATE_ARRIVALS
+    )
 
 
-async def keep_asking(
-    site: Site, path: str, answers: list[CallerResponse | None]
+async def send_good_requests(
+    site: Site, path: str, responses: list[CallerResponse | None]
 ) -> None:
-    """Send good requests of the same account until cancelled."""
+    """Send harmless requests of the same account until cancelled."""
     number = 0
     while True:
         number += 1
         index = number % len(site.instances)
-        answers.append(await ask(site, path, b"good %d" % number, index=index))
+        responses.append(await send(site, path, b"good %d" % number, index=index))
         await asyncio.sleep(0.03)
 
 
@@ -118,85 +120,89 @@
 def test_stop_a_request_that_crashes_servers(
     path: str, service: str, at_once: int
 ) -> None:
-    """One request ends server after server, and each caller's next try as many again.
+    """Callers retry a request that crashes each backend server that starts it.
 
-    A backend server crashes as it begins to run it, and is back soon. An instance
-    offers it to three and forgets it; it comes again, at another instance, which knows
-    nothing of the servers before. All servers were down for half of the time, and all
-    other requests with them, as long as somebody asked.
+    The servers restart soon. If an instance tried three servers and kept no record,
+    the next retry would crash three more through another instance: all servers would
+    be down for half of the time, and other requests would fail with them.
     """
 
     async def case() -> None:
-        async with open_restarting_backends(service=service) as (site, places):
+        async with open_restarting_backends(service=service) as (site, backends):
             good: list[CallerResponse | None] = []
-            others = asyncio.ensure_future(keep_asking(site, path, good))
+            sending = asyncio.ensure_future(send_good_requests(site, path, good))
             await asyncio.sleep(0.3)
-            await ask_often(site, path, at_once=at_once)
-            others.cancel()
-            check_stopped(places)
-            later = good[-60:]
-            served = sum(a is not None and a.status == 200 for a in later)
-            assert served >= 0.9 * len(later)
+            await send_repeatedly(site, path, at_once=at_once)
+            sending.cancel()
+            check_stopped(backends)
+            latest = good[-60:]
+            served = sum(
+                response is not None and response.status == 200 for response in latest
+            )
+            assert served >= 0.9 * len(latest)
 
     run(case())
 
 
-async def bring_about(site: Site, path: str = "/safe/x") -> None:
-    """Send the request until all instances hold it back."""
-    await ask_often(site, path, rounds=4)
-    await wait_for(lambda: all(holds(site, n) for n in range(len(site.instances))))
+async def wait_quarantined(site: Site, path: str = "/safe/x") -> None:
+    """Send the crashing request until all instances quarantine it."""
+    await send_repeatedly(site, path, rounds=4)
+    await wait_for(
+        lambda: all(has_quarantined(site, n) for n in range(len(site.instances)))
+    )
 
 
-async def forget_crashed(site: Site) -> None:
-    """Wait until all instances know the servers that are up, and no others.
+async def wait_crashed_removed(site: Site) -> None:
+    """Wait until all instances know exactly the servers that are up.
 
-    A late record of one that crashed names an address that another start has by now. A
-    request that goes there is refused and costs a repeat, of which few are left here.
+    The address in the record of a crashed process belongs to the next process by then.
+    It would reject a request for the crashed one, which costs a retry, and few retries
+    are left at this point.
     """
     up = {backend.id for backend in site.backends if not backend.is_down}
     await wait_for(lambda: all(set(i.replica.backends) == up for i in site.instances))
 
 
-def holds(site: Site, index: int) -> bool:
+def has_quarantined(site: Site, index: int) -> bool:
     return site.instances[index].peers.quarantine.has_entries
 
 
-def read_kind(answer: CallerResponse | None) -> str:
-    if answer is None or not answer.body.startswith(b"{"):
+def read_kind(response: CallerResponse | None) -> str:
+    if response is None or not response.body.startswith(b"{"):
         return ""
-    return str(json.loads(answer.body).get("kind", ""))
+    return str(json.loads(response.body).get("kind", ""))
 
 
-def test_tell_the_caller_what_is_and_what_to_do() -> None:
-    """A request is held back; its caller hears so at once, as it was not run.
+def test_explain_the_rejection_to_the_caller() -> None:
+    """A quarantined request is rejected at once, with a reason and a retry time.
 
-    A refusal without a reason or a time makes the caller ask again at once, for ever.
+    Without them the caller would retry immediately, again and again.
     """
 
     async def case() -> None:
-        async with open_restarting_backends(service="plain") as (site, places):
-            await bring_about(site)
+        async with open_restarting_backends(service="plain") as (site, backends):
+            await wait_quarantined(site)
             for index in range(3):
-                arrived = len(places.arrivals)
-                began = time.monotonic()
-                answer = await ask(site, "/safe/x", CRASH_MARK, index=index)
-                assert time.monotonic() - began < 0.3
-                assert answer is not None
-                assert (answer.status, read_kind(answer)) == (503, "quarantined")
-                assert 500 < float(answer.headers["retry-after"]) <= 600
-                detail = json.loads(answer.body)["detail"]
+                arrived = len(backends.arrivals)
+                sent_at = time.monotonic()
+                response = await send(site, "/safe/x", CRASH_MARK, index=index)
+                assert time.monotonic() - sent_at < 0.3
+                assert response is not None
+                assert (response.status, read_kind(response)) == (503, "quarantined")
+                assert 500 < float(response.headers["retry-after"]) <= 600
+                detail = json.loads(response.body)["detail"]
                 assert "has not been run" in detail
                 assert "Do not send it again unchanged" in detail
-                assert len(places.arrivals) == arrived
+                assert len(backends.arrivals) == arrived
 
     run(case())
 
 
-def test_serve_what_is_not_that_request() -> None:
+def test_serve_other_requests() -> None:
     """Servers crash under one account's request; others send the same path and body.
 
-    Held by path and body alone, one caller could shut out every other one. The same
-    caller's other requests are served as well.
+    If requests were quarantined by path and body alone, one caller could block all
+    others. The same caller's other requests are served as well.
     """
 
     async def case() -> None:
@@ -204,111 +210,115 @@
             site,
             _,
         ):
-            await bring_about(site)
-            await forget_crashed(site)
+            await wait_quarantined(site)
+            await wait_crashed_removed(site)
             for index in range(3):
-                other = await ask(
+                other = await send(
                     site, "/safe/x", CRASH_MARK, index=index, key=OTHER_KEY
                 )
                 assert other is not None
                 assert (other.status, read_kind(other)) == (200, "")
                 for path, body in (("/safe/x", b"else"), ("/safe/x?y", b"good")):
-                    answer = await ask(site, path, body, index=index)
-                    assert answer is not None
-                    assert (answer.status, read_kind(answer)) == (200, "")
+                    response = await send(site, path, body, index=index)
+                    assert response is not None
+                    assert (response.status, read_kind(response)) == (200, "")
 
     run(case())
 
 
-def test_remember_when_all_instances_were_lost() -> None:
-    """All instances are killed in the same moment and know nothing when they start.
+def test_restore_the_quarantine_from_the_store() -> None:
+    """All instances are killed at the same time and restart without any state.
 
-    The request would crash three servers more. What the store keeps holds it back.
+    The request would crash three more servers if the store did not keep the quarantine.
     """
 
     async def case() -> None:
-        async with open_restarting_backends(service="plain") as (site, places):
-            await bring_about(site)
+        async with open_restarting_backends(service="plain") as (site, backends):
+            await wait_quarantined(site)
             await wait_for(
                 lambda: any(
-                    k.startswith("quarantine/") for k in site.store.newest(STATUS)
+                    key.startswith("quarantine/") for key in site.store.newest(STATUS)
                 )
             )
             for stack in site.stacks:
                 await stack.aclose()
-            # The sockets close in the next turns of the loop.
+            # The sockets close in the next iterations of the event loop.
             await asyncio.sleep(0.1)
             site.stacks.clear()
             site.instances.clear()
             site.settings.clear()
             for number in (1, 2, 3):
                 await site.add_instance(f"i{number}", ip=f"127.0.0.{number}")
-            await wait_for(lambda: all(holds(site, n) for n in range(3)), CONTACT_S)
-            arrived = len(places.arrivals)
+            await wait_for(
+                lambda: all(has_quarantined(site, n) for n in range(3)), PROPAGATION_S
+            )
+            arrived = len(backends.arrivals)
             for index in range(3):
-                answer = await ask(site, "/safe/x", CRASH_MARK, index=index)
-                assert read_kind(answer) == "quarantined"
-            assert len(places.arrivals) == arrived
+                response = await send(site, "/safe/x", CRASH_MARK, index=index)
+                assert read_kind(response) == "quarantined"
+            assert len(backends.arrivals) == arrived
 
     run(case())
 
 
-def test_know_soon_after_a_start_without_the_store() -> None:
-    """An instance starts while the store refuses all calls; a peer tells it."""
+def test_learn_the_quarantine_from_a_peer_without_the_store() -> None:
+    """An instance starts while the store rejects all calls and asks a peer instead."""
 
     async def case() -> None:
         async with open_restarting_backends(service="plain", instances=2) as (site, _):
-            await bring_about(site)
+            await wait_quarantined(site)
             site.store.fault = "busy"
             index = await site.add_instance("i9", ip="127.0.0.9")
-            await wait_for(lambda: holds(site, index), CONTACT_S)
+            await wait_for(lambda: has_quarantined(site, index), PROPAGATION_S)
 
     run(case())
 
 
-def test_know_soon_after_a_cut() -> None:
-    """An instance hears no other one while three servers crash, then it does again."""
+def test_learn_the_quarantine_after_a_network_partition() -> None:
+    """An instance receives no peer messages while servers crash, then reconnects."""
 
     async def case() -> None:
         async with open_restarting_backends(service="plain") as (site, _):
             link = site.instances[2].peers
-            hear = link.datagram_received
+            datagram_received = link.datagram_received
             link.datagram_received = lambda data, addr: None  # type: ignore[method-assign]
             for number in range(4):
-                await ask(site, "/safe/x", CRASH_MARK, index=number % 2)
+                await send(site, "/safe/x", CRASH_MARK, index=number % 2)
                 await asyncio.sleep(ROUND_S)
-            assert holds(site, 0)
-            assert not holds(site, 2)
-            link.datagram_received = hear  # type: ignore[method-assign]
-            await wait_for(lambda: holds(site, 2), CONTACT_S)
+            assert has_quarantined(site, 0)
+            assert not has_quarantined(site, 2)
+            link.datagram_received = datagram_received  # type: ignore[method-assign]
+            await wait_for(lambda: has_quarantined(site, 2), PROPAGATION_S)
 
     run(case())
 
 
-def test_judge_without_the_first_judge() -> None:
-    """The instance that would judge the crashes stands still; the next one does."""
+def test_quarantine_without_the_first_owner() -> None:
+    """The first owner of the service's crashes is stalled; the next one steps in."""
 
     async def case() -> None:
-        async with open_restarting_backends(service="plain") as (site, places):
+        async with open_restarting_backends(service="plain") as (site, backends):
             await wait_for(
                 lambda: all(
                     len(i.peers.membership.alive()) == 3 for i in site.instances
                 )
             )
-            judges = site.instances[0].peers.quarantine._find_owners("plain")
-            still = [
-                i for i in site.instances if i.peers.membership.me.name == judges[0]
+            owners = site.instances[0].peers.quarantine._find_owners("plain")
+            stalled = [
+                instance
+                for instance in site.instances
+                if instance.peers.membership.me.name == owners[0]
             ]
-            for instance in still:
+            for instance in stalled:
                 instance.peers.quarantine.tick = lambda: None  # type: ignore[method-assign]
-            await ask_often(site, "/safe/x")
-            check_stopped(places)
+            await send_repeatedly(site, "/safe/x")
+            check_stopped(backends)
 
     run(case())
 
 
 async def roll_out_crashing(site: Site) -> RestartingBackends:
-    """Order a version that crashes under every good request; return its places."""
+    """Roll out a version that crashes under every request; return its servers."""
     bad = RestartingBackends(site, service="plain", version="v2")
     bad.crash_on = b"good"
     for number in range(4):
@@ -318,70 +328,77 @@
     return bad
 
 
-def test_hold_nothing_for_a_version_that_crashes_under_everything() -> None:
-    """A new version is rolled out and crashes under whatever it is given.
+def test_quarantine_nothing_for_a_version_that_always_crashes() -> None:
+    """A new version that crashes under every request is rolled out.
 
-    Requests are tried three times on it. Held for that, good requests would be refused
-    for ten minutes after the version was taken back.
+    Requests are tried on it three times. If they were quarantined for that, harmless
+    requests would be rejected for ten minutes after the version is rolled back.
     """
 
     async def case() -> None:
         async with open_restarting_backends(service="plain") as (site, _):
             bad = await roll_out_crashing(site)
-            answers: list[CallerResponse | None] = []
-            others = asyncio.ensure_future(keep_asking(site, "/safe/x", answers))
+            responses: list[CallerResponse | None] = []
+            sending = asyncio.ensure_future(
+                send_good_requests(site, "/safe/x", responses)
+            )
             await wait_for(lambda: len(bad.crashes) >= 2, 20.0)
             await wait_for(
                 lambda: site.store.status("plain").get("state") == "reverted", 12.0
             )
             await asyncio.sleep(0.5)
-            others.cancel()
+            sending.cancel()
             await bad.close()
-            kinds = {read_kind(answer) for answer in answers}
+            kinds = {read_kind(response) for response in responses}
             assert "quarantined" not in kinds
-            assert not any(holds(site, index) for index in range(3))
+            assert not any(has_quarantined(site, index) for index in range(3))
 
     run(case())
 
 
-def test_take_back_a_version_that_crashes_under_everything() -> None:
-    """A new version crashes under whatever it is given, so that it never answers.
+def test_roll_back_a_version_that_always_crashes() -> None:
+    """A new version crashes under every request, so it never responds.
 
-    Its trial saw no bad answer and ended well: all requests went to it, the old version
-    was stopped, and nothing was served any more.
+    If the canary analysis counted only responses, it would find no bad one and promote
+    the version; with the old version stopped, no request would be served any more.
     """
 
     async def case() -> None:
         async with open_restarting_backends(service="plain") as (site, _):
             bad = await roll_out_crashing(site)
-            answers: list[CallerResponse | None] = []
-            others = asyncio.ensure_future(keep_asking(site, "/safe/x", answers))
+            responses: list[CallerResponse | None] = []
+            sending = asyncio.ensure_future(
+                send_good_requests(site, "/safe/x", responses)
+            )
             await wait_for(
                 lambda: site.store.status("plain").get("state", "running") != "running",
                 12.0,
             )
             assert site.store.status("plain")["state"] == "reverted"
             await asyncio.sleep(1.5)
-            others.cancel()
+            sending.cancel()
             await bad.close()
-            served = [a is not None and a.status == 200 for a in answers[-20:]]
+            served = [
+                response is not None and response.status == 200
+                for response in responses[-20:]
+            ]
             assert all(served)
 
     run(case())
 
 
-def test_hold_nothing_for_connections_that_break() -> None:
-    """Servers cut answers and live on; the same request meets that again and again."""
+def test_quarantine_nothing_for_broken_connections() -> None:
+    """Servers break off the responses to a request repeatedly but do not crash."""
 
     async def case() -> None:
         async with open_site("p1", "p2", "p3", "p4") as site:
             for backend in site.backends:
                 backend.behaviour = "cut"
             for _ in range(6):
-                answer = await ask(site, "/safe/x", b"good")
-                assert answer is not None
-                assert answer.status == 502
+                response = await send(site, "/safe/x", b"good")
+                assert response is not None
+                assert response.status == 502
             await asyncio.sleep(0.5)
-            assert not holds(site, 0)
+            assert not has_quarantined(site, 0)
 
     run(case())
--- a/tests/platform/test_evacuations.py
+++ b/tests/platform/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuated failure domains: their backend servers get nothing new from anybody."""
+"""Evacuation of failure domains, whose backend servers get no new requests."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from tests.platform.site import Site, open_site, run, wait_for
 
 
-async def wait_known(site: Site, *domains: str, index: int = 0) -> None:
-    """Wait until an instance knows just these failure domains as evacuated."""
-    knowledge = site.instances[index].replica
-    await wait_for(lambda: knowledge.evacuations.domains == frozenset(domains), 2.0)
+async def wait_evacuated(site: Site, *domains: str, index: int = 0) -> None:
+    """Wait until exactly these failure domains are evacuated for an instance."""
+    replica = site.instances[index].replica
+    await wait_for(lambda: replica.evacuations.domains == frozenset(domains), 2.0)
     await asyncio.sleep(0.15)
 
 
@@ -25,21 +25,21 @@
 def test_send_nothing_new_to_an_evacuated_domain() -> None:
     """Operators are about to cut the power of a failure domain.
 
-    Whatever still goes there is lost with it: first tries, the second try of a request
-    that failed elsewhere, and a larger model's answer.
+    Requests still sent there would be lost with it: first attempts, retries of requests
+    that failed elsewhere, and attempts with a larger model.
     """
 
     async def case() -> None:
         async with open_site("p1", "p2@b", "e1", "e2@b") as site:
             site.evacuate("b")
-            await wait_known(site, "b")
+            await wait_evacuated(site, "b")
             find(site, "p1").behaviour = "fail"
             find(site, "e1").confidence = {"small": 10, "middle": 10}
             for _ in range(4):
                 assert (await site.call("/safe/x")).status == 500
-                answer = await site.call_model()
-                assert answer.status == 200
-                assert b"large" in answer.body
+                response = await site.call_model()
+                assert response.status == 200
+                assert b"large" in response.body
             assert not find(site, "p2").seen
             assert not find(site, "e2").seen
 
@@ -47,95 +47,95 @@
 
 
 def test_resume_a_stream_outside_the_evacuated_domain() -> None:
-    """A stream breaks while its only other server lies in an evacuated domain."""
+    """A stream breaks; one of the servers left is in an evacuated domain."""
 
     async def case() -> None:
         async with open_site("e1", "e2@b", "e3@c") as site:
             site.evacuate("b")
-            await wait_known(site, "b")
+            await wait_evacuated(site, "b")
             find(site, "e1").behaviour = "stream_cut"
-            # No more than the budget of repeats of so small an installation bears.
+            # The retry budget of such a small installation allows no more than this.
             for _ in range(3):
-                answer = await site.call_model()
-                assert (answer.status, answer.is_complete) == (200, True)
+                response = await site.call_model()
+                assert (response.status, response.is_complete) == (200, True)
             assert not find(site, "e2").seen
 
     run(case())
 
 
-def test_refuse_at_once_what_nothing_else_can_serve() -> None:
+def test_reject_at_once_when_all_servers_are_evacuated() -> None:
     """All servers of a service are evacuated.
 
-    The caller is told at once that nothing has run and when to come back. Held in a
-    queue until its time is over, it could not go elsewhere.
+    The caller learns at once that its request was not executed and when to retry.
+    Queued until its deadline, the request could not be sent elsewhere in time.
     """
 
     async def case() -> None:
         async with open_site("p1", "p2@b") as site:
             site.evacuate("a")
             site.evacuate("b")
-            await wait_known(site, "a", "b")
-            began = time.monotonic()
-            answer = await site.call("/unsafe/x")
-            assert time.monotonic() - began < 0.3
-            assert answer.status == 503
-            assert float(answer.headers["retry-after"]) > 0
-            assert json.loads(answer.body)["kind"] == "backends_evacuated"
+            await wait_evacuated(site, "a", "b")
+            sent_at = time.monotonic()
+            response = await site.call("/unsafe/x")
+            assert time.monotonic() - sent_at < 0.3
+            assert response.status == 503
+            assert float(response.headers["retry-after"]) > 0
+            assert json.loads(response.body)["kind"] == "backends_evacuated"
             assert not any(backend.seen for backend in site.backends)
 
     run(case())
 
 
-def test_let_what_runs_go_on() -> None:
-    """A stream runs in a domain that is evacuated; it is whole, and nothing follows."""
+def test_let_running_requests_finish() -> None:
+    """A stream in a domain that gets evacuated completes; no request follows it."""
 
     async def case() -> None:
         async with open_site("e1@b") as site:
             engine = find(site, "e1")
             engine.events, engine.pause_s = 8, 0.15
-            asking = asyncio.ensure_future(site.call_model())
+            running = asyncio.ensure_future(site.call_model())
             await wait_for(lambda: engine.seen, 2.0)
             site.evacuate("b")
-            await wait_known(site, "b")
-            answer = await asking
-            assert (answer.status, answer.is_complete) == (200, True)
+            await wait_evacuated(site, "b")
+            response = await running
+            assert (response.status, response.is_complete) == (200, True)
             assert (await site.call_model()).status == 503
             assert len(engine.seen) == 1
 
     run(case())
 
 
-def test_open_a_domain_again() -> None:
-    """An evacuation is taken back and given again within a second, and taken back."""
+def test_end_an_evacuation() -> None:
+    """An evacuation is withdrawn and ordered again within a second, then withdrawn."""
 
     async def case() -> None:
         async with open_site("p1@b") as site:
             site.evacuate("b")
             site.end_evacuation("b")
             site.evacuate("b")
-            await wait_known(site, "b")
+            await wait_evacuated(site, "b")
             assert (await site.call("/safe/x")).status == 503
             site.end_evacuation("b")
-            await wait_known(site)
+            await wait_evacuated(site)
             assert (await site.call("/safe/x")).status == 200
 
     run(case())
 
 
-def test_pass_over_an_evacuation_of_nothing() -> None:
-    """Operators misspell a failure domain: the servers of all others go on."""
+def test_ignore_an_evacuation_of_an_unknown_domain() -> None:
+    """Operators misspell a failure domain; the servers of all domains stay in use."""
 
     async def case() -> None:
         async with open_site("p1") as site:
             site.evacuate("nowhere")
             site.store.put(OPERATORS, "evacuate/", b"\xff\x00")
-            await wait_known(site, "nowhere", "")
+            await wait_evacuated(site, "nowhere", "")
             assert (await site.call("/safe/x")).status == 200
 
     run(case())
 
 
-def test_know_of_it_from_the_first_request_on() -> None:
+def test_apply_an_evacuation_from_the_first_request_on() -> None:
     """An instance starts while a domain is evacuated."""
 
     async def case() -> None:
@@ -150,13 +150,13 @@
     run(case())
 
 
-def test_hear_of_it_from_a_peer_while_the_store_is_away() -> None:
-    """An instance starts and the store answers nobody: a peer tells it everything."""
+def test_learn_an_evacuation_from_a_peer_during_a_store_outage() -> None:
+    """An instance starts while the store rejects all calls and syncs from a peer."""
 
     async def case() -> None:
         async with open_site("p1", "p2@b") as site:
             site.evacuate("b")
-            await wait_known(site, "b")
+            await wait_evacuated(site, "b")
             site.store.fault = "busy"
             await site.add_instance("i2", ip="127.0.0.2")
             await site.wait_ready(1)
@@ -166,23 +166,23 @@
     run(case())
 
 
-def test_hear_that_it_was_taken_back_though_the_history_is_gone() -> None:
-    """The record that takes it back is dropped before this instance has read it.
+def test_learn_the_end_of_an_evacuation_after_the_history_is_trimmed() -> None:
+    """The record that ends an evacuation is trimmed before an instance has read it.
 
-    It reads the list of all records instead, in which the domain is missing.
+    It reads the newest record of each key instead, where the domain is missing.
     """
 
     async def case() -> None:
         async with open_site("p1@b") as site:
             site.evacuate("b")
-            await wait_known(site, "b")
+            await wait_evacuated(site, "b")
             site.store.fault = "busy"
             await asyncio.sleep(0.6)
             site.end_evacuation("b")
             site.configure(2)
             site.store.first_offsets[OPERATORS] = len(site.store.topics[OPERATORS])
             site.store.fault = ""
-            await wait_known(site)
+            await wait_evacuated(site)
             assert (await site.call("/safe/x")).status == 200
 
     run(case())
--- a/tests/platform/test_homes.py
+++ b/tests/platform/test_homes.py
@@ -1,4 +1,4 @@
-"""Areas that requests must not leave, and instances that read their bodies."""
+"""Allowed regions of requests, and of the instances that read their bodies."""
 
 from __future__ import annotations
 
@@ -14,105 +14,105 @@
     wait_for,
 )
 
-KEYS = {"name": "metro", "api_keys": [KEY], "priority": None}
+TENANT = {"name": "metro", "api_keys": [KEY], "priority": None}
 
 
-def bind(*homes: str, account: tuple[str, ...] = ()) -> dict[str, object]:
-    """Return what a configuration says of the homes of a route and its account."""
+def restrict(*regions: str, account: tuple[str, ...] = ()) -> dict[str, object]:
+    """Return the configuration with the allowed regions of a route and an account."""
     return {
-        "routes": [route("/safe/", "idempotent", allowed_regions=list(homes))],
-        "tenants": [KEYS | {"allowed_regions": list(account)}],
+        "routes": [route("/safe/", "idempotent", allowed_regions=list(regions))],
+        "tenants": [TENANT | {"allowed_regions": list(account)}],
     }
 
 
-def seen(site: Site) -> set[str]:
+def list_used(site: Site) -> set[str]:
     return {backend.id for backend in site.backends if backend.seen}
 
 
-async def ask(site: Site) -> list[int]:
+async def call_repeatedly(site: Site) -> list[int]:
     return [(await site.call("/safe/x")).status for _ in range(12)]
 
 
-def test_serve_only_at_home() -> None:
-    """A request's server fails and the next one that is near lies in another area."""
+def test_serve_only_in_allowed_regions() -> None:
+    """A server fails, and the nearest other one is outside the allowed regions."""
 
     async def case() -> None:
-        bound = bind("south", "east")
-        async with open_site("p1", "p2@b", "p3@c", "p4@d", **bound) as site:
+        restricted = restrict("south", "east")
+        async with open_site("p1", "p2@b", "p3@c", "p4@d", **restricted) as site:
             site.backends[2].behaviour = "fail"
-            assert set(await ask(site)) <= {200, 500}
-            assert seen(site) == {"p3", "p4"}
+            assert set(await call_repeatedly(site)) <= {200, 500}
+            assert list_used(site) == {"p3", "p4"}
 
     run(case())
 
 
-def test_let_route_and_account_bind_both() -> None:
+def test_apply_the_regions_of_both_route_and_account() -> None:
     async def case() -> None:
-        bound = bind("south", "east", account=("north", "east"))
-        async with open_site("p1", "p3@c", "p4@d", **bound) as site:
-            assert set(await ask(site)) == {200}
-            assert seen(site) == {"p4"}
+        restricted = restrict("south", "east", account=("north", "east"))
+        async with open_site("p1", "p3@c", "p4@d", **restricted) as site:
+            assert set(await call_repeatedly(site)) == {200}
+            assert list_used(site) == {"p4"}
 
     run(case())
 
 
-def test_refuse_what_has_nothing_left_at_home() -> None:
-    """All servers at home are gone; going abroad is no way out."""
+def test_reject_without_a_server_in_the_allowed_regions() -> None:
+    """No server is in the allowed regions; servers of other regions are not used."""
 
     async def case() -> None:
-        async with open_site("p1", "p2@b", **bind("east")) as site:
-            answer = await site.call("/safe/x")
-            assert answer.status == 503
-            assert json.loads(answer.body)["kind"] == "no_backend_at_home"
-            assert not seen(site)
+        async with open_site("p1", "p2@b", **restrict("east")) as site:
+            response = await site.call("/safe/x")
+            assert response.status == 503
+            assert json.loads(response.body)["kind"] == "no_backend_at_home"
+            assert not list_used(site)
 
     run(case())
 
 
-def test_refuse_what_no_area_may_serve() -> None:
-    """Homes that name no area, or none that route and account share."""
+def test_reject_what_no_region_may_serve() -> None:
+    """The allowed regions are unknown, or route and account have none in common."""
 
     async def case() -> None:
-        async with open_site("p1", **bind("nowhere")) as site:
-            assert set(await ask(site)) == {503}
-            site.configure(2, **bind("north", account=("south",)))
-            knowledge = site.instances[0].replica
+        async with open_site("p1", **restrict("nowhere")) as site:
+            assert set(await call_repeatedly(site)) == {503}
+            site.configure(2, **restrict("north", account=("south",)))
+            replica = site.instances[0].replica
             await wait_for(
-                lambda: knowledge.table and knowledge.table.configuration.version == 2
+                lambda: replica.table and replica.table.configuration.version == 2
             )
-            assert set(await ask(site)) == {503}
-            assert not seen(site)
+            assert set(await call_repeatedly(site)) == {503}
+            assert not list_used(site)
 
     run(case())
 
 
 def test_follow_a_change_of_the_homes() -> None:
     async def case() -> None:
-        async with open_site("p1", "p3@c", **bind("north")) as site:
-            assert set(await ask(site)) == {200}
-            assert seen(site) == {"p1"}
-            site.configure(2, **bind("south"))
-            knowledge = site.instances[0].replica
+        async with open_site("p1", "p3@c", **restrict("north")) as site:
+            assert set(await call_repeatedly(site)) == {200}
+            assert list_used(site) == {"p1"}
+            site.configure(2, **restrict("south"))
+            replica = site.instances[0].replica
             await wait_for(
-                lambda: knowledge.table and knowledge.table.configuration.version == 2
+                lambda: replica.table and replica.table.configuration.version == 2
             )
             site.backends[0].seen.clear()
-            assert set(await ask(site)) == {200}
-            assert seen(site) == {"p3"}
+            assert set(await call_repeatedly(site)) == {200}
+            assert list_used(site) == {"p3"}
             site.configure(3)
             assert make_configuration(3)["version"] == 3
 
     run(case())
 
 
-def test_name_instances_that_may_read_the_body() -> None:
-    """Callers of two areas ask an instance which ones they may connect to.
+def test_resolve_to_instances_that_may_read_the_body() -> None:
+    """Callers of two regions look up the instances that they may connect to.
 
-    One in a third area would read a body that may not leave its home.
+    An instance of a third region would read bodies that must stay in their region.
     """
 
     async def case() -> None:
-        async with open_site("p1", **bind("north")) as site:
+        async with open_site("p1", **restrict("north")) as site:
             await site.add_instance("i2", ip="127.0.0.2", zone="c")
             await site.add_instance("i3", ip="127.0.0.3", zone="d")
             for index in (1, 2):
@@ -121,10 +121,10 @@
             await wait_for(lambda: len(members.alive()) == 3)
             addresses = [s.callers_address for s in site.settings]
 
-            async def resolve(area: str) -> list[str]:
-                target = f"/-/resolve?name=api.example&zone=x&region={area}"
-                answer = await call(site.settings[0].directory_address, target)
-                return list(json.loads(answer.body)["addresses"])
+            async def resolve(region: str) -> list[str]:
+                target = f"/-/resolve?name=api.example&zone=x&region={region}"
+                response = await call(site.settings[0].directory_address, target)
+                return list(json.loads(response.body)["addresses"])
 
             assert await resolve("north") == addresses[:1]
             assert await resolve("south") == addresses[1:2]
--- a/tests/platform/test_instances.py
+++ b/tests/platform/test_instances.py
@@ -1,4 +1,4 @@
-"""Several instances: membership, knowledge from peers, stops, roll-outs."""
+"""Several instances: membership, replication among peers, store calls, roll-outs."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 
 async def resolve(site: Site, index: int = 0) -> list[str]:
-    """Return the addresses that an instance tells callers."""
+    """Return the addresses that an instance's directory lists."""
     address = site.settings[index].directory_address
-    answer = await call(address, "/-/resolve?name=api.example&zone=a")
-    found: dict[str, Any] = json.loads(answer.body)
-    assert 0 < found["ttl_s"] <= 5
-    return list(found["addresses"])
+    response = await call(address, "/-/resolve?name=api.example&zone=a")
+    directory: dict[str, Any] = json.loads(response.body)
+    assert 0 < directory["ttl_s"] <= 5
+    return list(directory["addresses"])
 
 
 async def is_ready(site: Site, index: int = 0) -> bool:
-    answer = await call(site.settings[index].readiness_address, "/-/readiness")
-    return answer.status == 200
+    response = await call(site.settings[index].readiness_address, "/-/readiness")
+    return response.status == 200
 
 
-def test_list_all_instances_that_serve() -> None:
+def test_resolve_to_all_serving_instances() -> None:
     async def case() -> None:
         async with open_site("p1") as site:
             await site.add_instance("i2", ip="127.0.0.2")
@@ -51,11 +51,11 @@
     run(case())
 
 
-def test_learn_everything_from_a_peer_while_the_store_is_away() -> None:
-    """An instance starts while the store refuses all calls.
+def test_sync_from_a_peer_during_a_store_outage() -> None:
+    """An instance starts while the store rejects all calls.
 
-    It knows nothing of its own. A peer tells it the configuration, the backend servers
-    and how old that is, and it serves while that is fresh.
+    A peer sends it the configuration, the backend servers and the age of both, and the
+    instance serves while they are fresh.
     """
 
     async def case() -> None:
@@ -70,7 +70,7 @@
     run(case())
 
 
-def test_let_few_instances_read_the_store() -> None:
+def test_limit_the_store_calls_of_all_instances() -> None:
     async def case() -> None:
         async with open_site("p1") as site:
             for number in (2, 3, 4):
@@ -91,11 +91,12 @@
     run(case())
 
 
-def test_take_a_large_configuration_over_a_slow_link() -> None:
-    """A configuration of many routes takes over a second to arrive.
+def test_read_a_large_configuration_over_a_slow_link() -> None:
+    """A configuration of many routes takes more than a second to transfer.
 
-    An instance that gives the whole answer half a second asks for it for ever and
-    refuses the new routes with 404, long after the operators were told that it counts.
+    With a timeout of half a second for the whole response an instance would request it
+    again and again and answer 404 for the new routes, long after the operators were
+    told that they are in force.
     """
 
     async def case() -> None:
@@ -109,7 +110,7 @@
                 4.0,
             )
             site.store.fault = ""
-            # The read that is still under way may make its knowledge too old for keys.
+            # The read still in progress may leave the replica too old to check keys.
             await asyncio.sleep(1.5)
             await site.wait_ready()
             assert (await site.call("/added/x")).status == 200
@@ -117,11 +118,11 @@
     run(case())
 
 
-def test_go_on_after_a_question_of_an_unknown_peer() -> None:
-    """An instance hears a question of one that its list of members doesn't name yet.
+def test_survive_a_query_of_an_unknown_peer() -> None:
+    """An instance receives a query of a peer that is not in its member list yet.
 
-    The change that is told to all who asked has nowhere to go; the probes must go on,
-    or this instance keeps the members of its first moment for good.
+    Later changes are sent to all subscribers, but this one has no address. If the error
+    stopped the membership probes, the instance would keep its initial members forever.
     """
 
     async def case() -> None:
@@ -139,25 +140,25 @@
     run(case())
 
 
-def test_keep_running_when_a_step_fails() -> None:
+def test_restart_a_task_that_fails() -> None:
     async def case() -> None:
-        done = []
+        runs = []
 
         async def work() -> None:
-            done.append(1)
-            if len(done) == 1:
+            runs.append(1)
+            if len(runs) == 1:
                 raise ValueError("one step")
             await asyncio.sleep(30)
 
         task = asyncio.ensure_future(tasks.keep_running(work))
-        await wait_for(lambda: len(done) == 2, 2.0)
+        await wait_for(lambda: len(runs) == 2, 2.0)
         task.cancel()
 
     run(case())
 
 
-def test_ask_a_store_that_is_away_seldom() -> None:
-    """The store refuses everybody for two seconds; readers alone ask it often."""
+def test_limit_the_store_calls_during_an_outage() -> None:
+    """The store rejects all calls for seconds; only the readers retry often."""
 
     async def case() -> None:
         async with open_site("p1") as site:
@@ -186,19 +187,19 @@
     )
 
 
-async def ask_many(
-    site: Site, count: int, pause_s: float = 0.01, prefix: str = "s"
+async def send_sessions(
+    site: Site, count: int, interval_s: float = 0.01, prefix: str = "s"
 ) -> list[Any]:
-    """Send requests of as many sessions."""
-    tasks = []
+    """Send `count` requests, each of a session of its own."""
+    calls = []
     for number in range(count):
         session = f"{prefix}{number}"
-        tasks.append(asyncio.ensure_future(site.call_model(Session=session)))
-        await asyncio.sleep(pause_s)
-    return [await task for task in tasks]
+        calls.append(asyncio.ensure_future(site.call_model(Session=session)))
+        await asyncio.sleep(interval_s)
+    return [await call for call in calls]
 
 
-def test_move_to_a_good_version_in_time() -> None:
+def test_promote_a_good_version_in_time() -> None:
     async def case() -> None:
         async with open_site("e1", "e2") as site:
             await site.add_backend("n1", service="engine", version="v2")
@@ -206,44 +207,44 @@
             put_rollout(site, "v2", 6.0)
             await wait_for(lambda: site.store.status("engine"), 3.0)
             assert site.store.status("engine")["state"] == "running"
-            for turn in range(24):
-                await ask_many(site, 20, 0.02, prefix=f"turn{turn}-")
+            for batch in range(24):
+                await send_sessions(site, 20, 0.02, prefix=f"turn{batch}-")
                 if site.store.status("engine")["state"] != "running":
                     break
             assert site.store.status("engine")["state"] == "succeeded"
-            old = [len(b.seen) for b in site.backends[:2]]
-            await ask_many(site, 10)
-            assert [len(b.seen) for b in site.backends[:2]] == old
+            old = [len(backend.seen) for backend in site.backends[:2]]
+            await send_sessions(site, 10)
+            assert [len(backend.seen) for backend in site.backends[:2]] == old
 
     run(case())
 
 
 def test_keep_sessions_that_were_in_use_before_the_order() -> None:
-    """Callers are in the middle of their conversations when the order comes.
+    """Sessions are in use when a roll-out is ordered.
 
-    The first part of them that the trial may move has used the old version seconds
-    ago; their next requests must find it again in the first half.
+    They used the old version seconds ago, so their next requests must go to the old
+    version throughout the first half of the roll-out.
     """
 
     async def case() -> None:
         async with open_site("e1", "e2") as site:
-            await ask_many(site, 120, 0.005)
+            await send_sessions(site, 120, 0.005)
             new = await site.add_backend("n1", service="engine", version="v2")
             put_rollout(site, "v2", 30.0)
             await asyncio.sleep(0.5)
-            await ask_many(site, 120, 0.005)
+            await send_sessions(site, 120, 0.005)
             await asyncio.sleep(0.6)
-            await ask_many(site, 120, 0.005)
+            await send_sessions(site, 120, 0.005)
             assert not new.seen
 
     run(case())
 
 
-def test_revert_a_version_that_fails() -> None:
-    """The new version answers every request with a failure.
+def test_roll_back_a_version_that_fails() -> None:
+    """The new version fails every request.
 
-    It gets a small share at first, the failures are counted against the old version's,
-    and it is out before the callers have met it often; the status says so.
+    It gets a small share of the requests at first and its failures are compared with
+    the old version's, so it is rolled back before many callers are affected.
     """
 
     async def case() -> None:
@@ -251,24 +252,24 @@
             bad = await site.add_backend("n1", service="engine", version="v2")
             bad.behaviour = "fail"
             put_rollout(site, "v2", 8.0)
-            for turn in range(20):
-                await ask_many(site, 30, 0.01, prefix=f"turn{turn}-")
+            for batch in range(20):
+                await send_sessions(site, 30, 0.01, prefix=f"turn{batch}-")
                 if site.store.status("engine").get("state") == "reverted":
                     break
             assert site.store.status("engine")["state"] == "reverted"
-            met = len(bad.seen)
-            assert met < 25
-            await ask_many(site, 20)
-            assert len(bad.seen) == met
+            exposed = len(bad.seen)
+            assert exposed < 25
+            await send_sessions(site, 20)
+            assert len(bad.seen) == exposed
 
     run(case())
 
 
-def test_send_nothing_unproven_from_the_first_moment() -> None:
-    """An instance starts in the middle of a roll-out and is called at once.
+def test_avoid_canary_versions_right_after_a_start() -> None:
+    """An instance starts in the middle of a roll-out and gets requests at once.
 
-    Two of three servers run the version on trial. Until the next step of its roll-outs
-    the instance chose among all of them alike.
+    Two of three servers run the canary version. The instance must not choose among all
+    three servers until its roll-out state is first updated.
     """
 
     async def case() -> None:
@@ -278,15 +279,15 @@
             put_rollout(site, "v2", 60.0)
             await site.wait_ready()
             index = await site.add_instance("i2", ip="127.0.0.2")
-            answers = [await site.call_model(index=index) for _ in range(8)]
-            assert all(answer.status == 200 for answer in answers)
+            responses = [await site.call_model(index=index) for _ in range(8)]
+            assert all(response.status == 200 for response in responses)
             assert not any(backend.seen for backend in site.backends[1:])
 
     run(case())
 
 
-def test_survive_rubbish_on_each_port() -> None:
-    """Bytes that are no message come to every port; the instance serves on."""
+def test_survive_invalid_data_on_each_port() -> None:
+    """Invalid data arrives on every port; the instance keeps serving."""
 
     async def case() -> None:
         async with open_site("p1") as site:
--- a/tests/platform/test_mechanisms.py
+++ b/tests/platform/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""Each mechanism can be switched off; what it does is then not done."""
+"""Each mechanism can be disabled, and is then without effect."""
 
 from __future__ import annotations
 
@@ -13,49 +13,52 @@
 from tests.platform.site import open_site, run
 
 
-async def ask(off: Mechanism | None, confidence: int = 20) -> list[str]:
-    """Return the models that are asked for one answer."""
-    switches = frozenset() if off is None else frozenset([off])
-    async with open_site("e1", "e2", off=switches) as site:
+async def list_models(off: Mechanism | None, confidence: int = 20) -> list[str]:
+    """Send one request; return the models of its attempts."""
+    disabled = frozenset() if off is None else frozenset([off])
+    async with open_site("e1", "e2", off=disabled) as site:
         for backend in site.backends:
             backend.confidence = {"small": confidence}
-        answer = await site.call_model()
-        assert answer.is_complete
-        seen = [s for backend in site.backends for s in backend.seen]
-        return sorted(s.headers["x-model"] for s in seen)
+        response = await site.call_model()
+        assert response.is_complete
+        received = [request for backend in site.backends for request in backend.seen]
+        return sorted(request.headers["x-model"] for request in received)
 
 
 @pytest.mark.parametrize("off", [None, *Mechanism])
-def test_answer_without_any_mechanism(off: Mechanism | None) -> None:
+def test_serve_with_any_mechanism_disabled(off: Mechanism | None) -> None:
     async def case() -> None:
         staged = off is not Mechanism.STAGED_MODELS
-        assert await ask(off) == (["large", "small"] if staged else ["large"])
+        assert await list_models(off) == (["large", "small"] if staged else ["large"])
 
     run(case())
 
 
 @pytest.mark.parametrize(("off", "count"), [(None, 1), (Mechanism.LOAD_QUERIES, 0)])
-def test_tell_of_loads_only_with_them(
+def test_report_placements_only_with_loads_enabled(
     monkeypatch: pytest.MonkeyPatch, off: Mechanism | None, count: int
 ) -> None:
-    told: list[PromptPlaced] = []
+    messages: list[PromptPlaced] = []
     monkeypatch.setattr(
-        Placement, "handle_placed", lambda placement, sender, word: told.append(word)
+        Placement,
+        "handle_placed",
+        lambda placement, sender, message: messages.append(message),
     )
-    asyncio.run(ask(off, confidence=100))
-    assert len(told) == count
+    asyncio.run(list_models(off, confidence=100))
+    assert len(messages) == count
 
 
-def test_wait_for_a_silent_server_without_patience() -> None:
-    """One of two engines runs the request and never answers.
+def test_wait_for_a_silent_server_without_silence_timeouts() -> None:
+    """One of two servers executes the request and never responds.
 
-    With patience the other one answers; without it the request ends at its deadline.
+    With silence timeouts enabled the other server responds; without them the request
+    ends at its deadline.
     """
 
     async def case() -> None:
         for off, status in ((None, 200), (Mechanism.ATTEMPT_TIMEOUT, 504)):
-            switches = frozenset() if off is None else frozenset([off])
-            async with open_site("p1", off=switches) as site:
+            disabled = frozenset() if off is None else frozenset([off])
+            async with open_site("p1", off=disabled) as site:
                 site.backends[0].behaviour = "mute"
                 await site.add_backend("p2")
                 await site.wait_ready()
@@ -69,13 +72,13 @@
     run(case())
 
 
-def test_name_the_mechanisms_that_can_be_switched_off() -> None:
-    done = subprocess.run(
+def test_list_the_mechanisms_on_an_invalid_choice() -> None:
+    completed = subprocess.run(
         [sys.executable, "-m", "baobabthread.platform", "--without", "luck"],
         capture_output=True,
         text=True,
         check=False,
     )
-    assert done.returncode == 2
-    assert "luck" in done.stderr
-    assert "staged-models" in done.stderr
+    assert completed.returncode == 2
+    assert "luck" in completed.stderr
+    assert "staged-models" in completed.stderr
--- a/tests/platform/test_program.py
+++ b/tests/platform/test_program.py
@@ -1,4 +1,4 @@
-"""Tests of the program's start, as a process of its own."""
+"""Start of the program, as a process of its own."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
 
 
 def open_for_writing(path: Path) -> int:
-    """Wait until the program reads a named pipe; return its other end."""
-    ends_at = time.monotonic() + START_S
+    """Wait until the program opens a named pipe; return the writing end."""
+    deadline = time.monotonic() + START_S
     while True:
         try:
             return os.open(path, os.O_WRONLY | os.O_NONBLOCK)
         except OSError:
-            if time.monotonic() > ends_at:
+            if time.monotonic() > deadline:
                 raise
             time.sleep(0.01)
 
 
-def test_survive_changed_settings_while_it_starts(tmp_path: Path) -> None:
-    """The platform says that settings changed while an instance is still starting.
+def test_survive_sighup_during_start(tmp_path: Path) -> None:
+    """The platform signals changed settings while an instance is still starting.
 
-    The signal's default action ends the process, and callers wait for another start.
+    The signal's default action would end the process, and callers would wait for
+    another start.
     """
     settings = tmp_path / "settings"
     os.mkfifo(settings)
@@ -41,13 +42,13 @@
         assert process.wait(START_S) == 2
 
 
-def test_load_nothing_that_the_platform_makes_needless() -> None:
-    """Two hundred instances lost power and start again on half a core each.
+def test_import_no_modules_that_are_unused_on_the_platform() -> None:
+    """After a power failure two hundred instances start on half a core each.
 
-    Callers wait for the imports of the first one; those of the product's own log, bills
-    and claims were an eighth of them.
+    Callers wait for the first one's imports, of which the modules for the router's own
+    log, bills and claims would be an eighth.
     """
-    needless = ("core.billing", "core.claims", "core.sessions", "configuration.fold")
+    unused = ("core.billing", "core.claims", "core.sessions", "configuration.fold")
     code = (
         "import sys, baobabthread.platform.program;"
         "print(*(name for name in sys.modules if name.startswith('baobabthread')))"
@@ -56,4 +57,4 @@
     loaded = subprocess.run(command, capture_output=True, text=True, check=True)
     names = loaded.stdout.split()
     assert "baobabthread.platform.program" in names
-    assert not [name for name in names for part in needless if part in name]
+    assert not [name for name in names for part in unused if part in name]
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests through one instance, against backend servers that fail on the wire."""
+"""Requests through one instance to backend servers with faults on the wire."""
 
 from __future__ import annotations
 
@@ -12,30 +12,33 @@
 from tests.platform.site import make_configuration, open_site, run, wait_for
 
 
-def test_pass_a_request_on_unchanged() -> None:
+def test_forward_a_request_unchanged() -> None:
     async def case() -> None:
         async with open_site("p1") as site:
-            answer = await site.call(
+            response = await site.call(
                 "/safe/a%2Fb?q=%20x&y", method="POST", body=b"body", X_Extra="kept"
             )
-            (seen,) = site.backends[0].seen
-            assert (answer.status, answer.body) == (200, b"answer of p1")
-            assert answer.headers["x-response-signature"] == "signed-by-the-backend"
-            assert (seen.method, seen.target) == ("POST", "/safe/a%2Fb?q=%20x&y")
-            assert (seen.body, seen.headers["x-extra"]) == (b"body", "kept")
-            assert seen.headers["x-attempt-id"] == "a1"
-            assert seen.headers["x-target-instance"] == "p1"
-            assert seen.headers["x-tenant"] == "metro"
-            assert 0 < int(seen.headers["x-timeout-ms"]) <= 2000
+            (received,) = site.backends[0].seen
+            assert (response.status, response.body) == (200, b"answer of p1")
+            assert response.headers["x-response-signature"] == "signed-by-the-backend"
+            assert (received.method, received.target) == (
+                "POST",
+                "/safe/a%2Fb?q=%20x&y",
+            )
+            assert (received.body, received.headers["x-extra"]) == (b"body", "kept")
+            assert received.headers["x-attempt-id"] == "a1"
+            assert received.headers["x-target-instance"] == "p1"
+            assert received.headers["x-tenant"] == "metro"
+            assert 0 < int(received.headers["x-timeout-ms"]) <= 2000
 
     run(case())
 
 
-def test_drop_what_only_this_side_may_set() -> None:
-    """A caller forges whose request it is and what a backend server reserves.
+def test_drop_reserved_headers() -> None:
+    """A caller forges headers that only an instance may set.
 
-    Passed on, the request would be charged to another client account, hold memory, or
-    go on from another request's.
+    If they were passed on, the request would be charged to another client account,
+    reserve memory, or continue from another request's state.
     """
 
     async def case() -> None:
@@ -80,21 +83,21 @@
     run(case())
 
 
-def test_refuse_a_body_over_the_limit() -> None:
+def test_reject_a_body_over_the_limit() -> None:
     async def case() -> None:
         async with open_site("p1") as site:
-            answer = await site.call("/safe/x", method="POST", body=b"x" * 10_001)
-            assert answer.status == 413
+            response = await site.call("/safe/x", method="POST", body=b"x" * 10_001)
+            assert response.status == 413
             assert not site.backends[0].seen
 
     run(case())
 
 
-def test_refuse_ambiguous_framing() -> None:
-    """A request has a length and chunks, and hides another one in its body.
+def test_reject_ambiguous_framing() -> None:
+    """A request has both a length and chunked framing, and hides another request.
 
-    Whoever reads it one way passes the hidden one on as its own; it is refused and the
-    connection closed.
+    Parsers that disagree on the framing would forward the hidden one as a request of
+    its own, so it is rejected and the connection closed.
     """
 
     async def case() -> None:
@@ -106,8 +109,8 @@
                 b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
                 b"GET /open/hidden HTTP/1.1\r\nHost: api.example\r\n\r\n"
             )
-            answer = await read_response(reader)
-            assert answer.status == 400
+            response = await read_response(reader)
+            assert response.status == 400
             assert await reader.read() == b""
             assert not site.backends[0].seen
             writer.close()
@@ -118,77 +121,77 @@
 @pytest.mark.parametrize(
     "fault", ["cut", "mute", "other_id", "unsigned", "unframed_reset"]
 )
-def test_run_a_non_idempotent_request_once(fault: str) -> None:
-    """The caller gets 502 or 504: the request may have run.
+def test_execute_a_non_idempotent_request_once(fault: str) -> None:
+    """The caller gets 502 or 504, since the request may have been executed.
 
-    The backend server takes it and its answer is lost, spoilt or another's. A second
-    try, or a 503 that makes the caller try again, would run it twice.
+    The backend server receives it, but the response is lost, corrupt or another
+    request's. A retry, or a 503 that makes the caller retry, would execute it twice.
     """
 
     async def case() -> None:
         async with open_site("p1", "p2") as site:
             for backend in site.backends:
                 backend.behaviour = fault
-            answer = await site.call("/unsafe/x", method="POST", body=b"warn")
-            assert answer.status in (502, 504)
-            assert answer.is_complete
-            assert sum(len(b.seen) for b in site.backends) == 1
+            response = await site.call("/unsafe/x", method="POST", body=b"warn")
+            assert response.status in (502, 504)
+            assert response.is_complete
+            assert sum(len(backend.seen) for backend in site.backends) == 1
 
     run(case())
 
 
 @pytest.mark.parametrize("fault", ["cut", "mute", "other_id", "unsigned", "fail"])
-def test_try_an_idempotent_request_elsewhere(fault: str) -> None:
+def test_retry_an_idempotent_request_elsewhere(fault: str) -> None:
     async def case() -> None:
         async with open_site("p1", "p2") as site:
             site.backends[0].behaviour = fault
             for _ in range(4):
-                answer = await site.call("/safe/x")
-                assert (answer.status, answer.body) == (200, b"answer of p2")
+                response = await site.call("/safe/x")
+                assert (response.status, response.body) == (200, b"answer of p2")
 
     run(case())
 
 
-def test_pass_on_a_signed_failure_when_nothing_else_is_left() -> None:
+def test_pass_on_a_signed_failure_without_retries_left() -> None:
     async def case() -> None:
         async with open_site("p1") as site:
             site.backends[0].behaviour = "fail"
-            answer = await site.call("/unsafe/x", method="POST", body=b"x")
-            assert (answer.status, answer.body) == (500, b"own failure")
-            assert "x-response-signature" in answer.headers
+            response = await site.call("/unsafe/x", method="POST", body=b"x")
+            assert (response.status, response.body) == (500, b"own failure")
+            assert "x-response-signature" in response.headers
 
     run(case())
 
 
-def test_offer_a_refused_request_elsewhere() -> None:
-    """A full backend server says that it did not run a request that may not repeat."""
+def test_retry_a_rejected_request_elsewhere() -> None:
+    """A full backend server states that it did not execute a non-idempotent request."""
 
     async def case() -> None:
         async with open_site("p1", "p2") as site:
             site.backends[0].behaviour = "shed"
             for _ in range(4):
-                answer = await site.call("/unsafe/x", method="POST", body=b"x")
-                assert answer.status == 200
+                response = await site.call("/unsafe/x", method="POST", body=b"x")
+                assert response.status == 200
 
     run(case())
 
 
-def test_refuse_with_a_time_to_come_back_when_all_are_full() -> None:
+def test_reject_with_retry_after_when_all_servers_are_full() -> None:
     async def case() -> None:
         async with open_site("p1", "p2") as site:
             for backend in site.backends:
                 backend.behaviour = "shed"
-            answer = await site.call("/unsafe/x", method="POST", body=b"x")
-            assert answer.status == 503
-            assert float(answer.headers["retry-after"]) > 0
+            response = await site.call("/unsafe/x", method="POST", body=b"x")
+            assert response.status == 503
+            assert float(response.headers["retry-after"]) > 0
 
     run(case())
 
 
-def test_keep_a_stray_answer_from_the_next_caller() -> None:
-    """A backend server sends a second answer behind a whole one.
+def test_discard_a_stray_response() -> None:
+    """A backend server sends a second response after a complete one.
 
-    On the kept connection it would be read as the answer to the next request.
+    On a reused connection it would be read as the response to the next request.
     """
 
     async def case() -> None:
@@ -196,42 +199,42 @@
             site.backends[0].behaviour = "extra"
             for number in range(5):
                 id = f"r{number}"
-                answer = await site.call("/safe/x", X_Attempt_Id=id)
-                assert answer.body == b"answer of p1"
-                assert answer.headers["x-attempt-id"] == id
+                response = await site.call("/safe/x", X_Attempt_Id=id)
+                assert response.body == b"answer of p1"
+                assert response.headers["x-attempt-id"] == id
 
     run(case())
 
 
-def test_take_a_body_that_ends_with_its_connection() -> None:
+def test_accept_a_body_that_ends_with_its_connection() -> None:
     async def case() -> None:
         async with open_site("p1") as site:
             site.backends[0].behaviour = "unframed"
-            answer = await site.call("/unsafe/x", method="POST", body=b"x")
-            assert (answer.status, answer.body) == (200, b"whole body")
+            response = await site.call("/unsafe/x", method="POST", body=b"x")
+            assert (response.status, response.body) == (200, b"whole body")
 
     run(case())
 
 
-def test_answer_at_the_time_limit_of_the_route() -> None:
-    """The backend server never answers; the caller would wait for five seconds.
+def test_respond_at_the_time_limit_of_the_route() -> None:
+    """The backend server never responds; the caller would wait for five seconds.
 
-    The operator's limit is two: a final answer goes out then, not at the caller's end.
+    The route's limit is two seconds, so the final response is due after two.
     """
 
     async def case() -> None:
         async with open_site("p1") as site:
             site.backends[0].behaviour = "mute"
-            began = time.monotonic()
-            answer = await site.call("/unsafe/x", method="POST", body=b"x")
-            assert answer.status == 504
-            assert 1.8 < time.monotonic() - began < 2.4
+            sent_at = time.monotonic()
+            response = await site.call("/unsafe/x", method="POST", body=b"x")
+            assert response.status == 504
+            assert 1.8 < time.monotonic() - sent_at < 2.4
 
     run(case())
 
 
-def test_stop_the_backend_server_when_the_caller_leaves() -> None:
-    """A caller closes its connection; what it asked for is work for nobody."""
+def test_cancel_the_request_when_the_caller_disconnects() -> None:
+    """A caller closes its connection, so nobody needs the response any more."""
 
     async def case() -> None:
         async with open_site("p1") as site:
@@ -248,23 +251,23 @@
     run(case())
 
 
-def test_stop_honouring_a_key_that_was_taken_away() -> None:
+def test_reject_a_revoked_key() -> None:
     async def case() -> None:
         async with open_site("p1") as site:
             assert (await site.call("/safe/x")).status == 200
             site.configure(2, tenants=[{"name": "metro", "api_keys": ["other"]}])
-            table = site.instances[0].replica
-            await wait_for(lambda: table.table.configuration.version == 2)
+            replica = site.instances[0].replica
+            await wait_for(lambda: replica.table.configuration.version == 2)
             assert (await site.call("/safe/x")).status == 401
 
     run(case())
 
 
-def test_refuse_keyed_requests_when_knowledge_is_too_old() -> None:
-    """The store falls silent, and an operator takes a key away meanwhile.
+def test_reject_keyed_requests_when_the_replica_is_stale() -> None:
+    """The store stops responding, and an operator may revoke a key meanwhile.
 
-    An instance that can't read it must stop within the bound; it says 503, not 401,
-    since the key may well stand.
+    An instance that can't read the store must stop accepting keys within the bound. It
+    responds with 503 rather than 401, since the key may still be valid.
     """
 
     async def case() -> None:
@@ -279,7 +282,7 @@
 
 
 def test_keep_the_last_good_configuration() -> None:
-    """An operator's record can't be decoded; what was in force stays so."""
+    """An operator's record can't be decoded; the previous one stays in force."""
 
     async def case() -> None:
         async with open_site("p1") as site:
@@ -297,7 +300,7 @@
     run(case())
 
 
-def test_send_nothing_to_a_backend_server_that_leaves() -> None:
+def test_send_nothing_to_a_draining_backend_server() -> None:
     async def case() -> None:
         async with open_site("p1", "p2") as site:
             leaving = site.backends[0]
@@ -317,25 +320,27 @@
 
 
 def test_wait_a_moment_for_the_first_knowledge() -> None:
-    """All instances were lost, and every caller meets the first that is back.
+    """All instances were lost, and all callers connect to the first one that is back.
 
-    It knows neither configuration nor backend servers for its first hundredths of a
-    second. Refused then, the callers have used up their repeat for nothing.
+    For a few hundredths of a second it has neither a configuration nor backend servers.
+    Requests rejected then would use up their callers' retries for nothing.
     """
 
     async def case() -> None:
         async with open_site("p1") as site:
             index = await site.add_instance("i2", ip="127.0.0.2")
-            answers = [site.call("/open/x", index=index, key=None) for _ in range(20)]
-            assert {a.status for a in await asyncio.gather(*answers)} == {200}
+            calls = [site.call("/open/x", index=index, key=None) for _ in range(20)]
+            assert {response.status for response in await asyncio.gather(*calls)} == {
+                200
+            }
 
     run(case())
 
 
-def test_answer_503_while_nothing_is_known() -> None:
+def test_respond_503_while_the_replica_is_empty() -> None:
     """An instance starts while neither the store nor a peer can be reached.
 
-    It can't know whether a route exists: 404 would be final for the caller.
+    It can't know whether a route exists, and a 404 would be final for the caller.
     """
 
     async def case() -> None:
@@ -344,8 +349,8 @@
             site.settings.clear()
             await site.add_instance("i2", ip="127.0.0.2")
             for path in ("/nowhere/x", "/safe/x"):
-                answer = await site.call(path)
-                assert answer.status == 503
-                assert float(answer.headers["retry-after"]) > 0
+                response = await site.call(path)
+                assert response.status == 503
+                assert float(response.headers["retry-after"]) > 0
 
     run(case())
--- a/tests/platform/test_restarts.py
+++ b/tests/platform/test_restarts.py
@@ -1,4 +1,4 @@
-"""Backend servers that start again under their id, and records of other writers."""
+"""Backend servers that restart under the same id, and records of other writers."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 
 async def restart(site: Site, id: str, *, started_ms: int) -> FakeBackend:
-    """Start a server under an id that another start had; it has another address."""
+    """Start a server under the id of a previous process, with another address."""
     backend = await FakeBackend(id).start()
     site.backends.append(backend)
     site.store.put(BACKENDS, id, {**backend.record, "born": started_ms})
     return backend
 
 
-def test_forget_what_the_start_before_did() -> None:
-    """A server fails until it is ejected, crashes, and starts again under its id.
+def test_reset_the_state_of_a_restarted_server() -> None:
+    """A server fails until it is ejected, crashes, and restarts under the same id.
 
-    The new start has no failures behind it and other connections: requests go to it
-    at once, to its own address.
+    The new process has no failures and other connections, so requests go to its own
+    address at once.
     """
 
     async def case() -> None:
@@ -53,7 +53,7 @@
     run(case())
 
 
-def test_pass_over_a_late_record_of_the_start_before() -> None:
+def test_ignore_a_late_record_of_the_previous_process() -> None:
     async def case() -> None:
         async with open_site() as site:
             new = await restart(site, "p1", started_ms=2)
@@ -69,32 +69,32 @@
     run(case())
 
 
-def test_send_nothing_more_to_an_address_that_another_server_has() -> None:
-    """A server crashed; a late record names it as ready, and its address is another's.
+def test_stop_using_an_address_that_another_server_has() -> None:
+    """A late record names a crashed server as ready, at an address now in use again.
 
-    The other server refuses what was meant for the one that is gone. One request finds
-    that out; with each one that goes there the budget of repeats would run out.
+    The server at that address rejects requests for the crashed one. A single request
+    reveals this; sending more of them there would use up the retry budget.
     """
 
     async def case() -> None:
         async with open_site("p1", "p2") as site:
             store, other = site.store, site.backends[0]
             store.put(BACKENDS, "gone", other.record)
-            knowledge = site.instances[0].replica
-            await wait_for(lambda: "gone" in knowledge.backends, 2.0)
+            replica = site.instances[0].replica
+            await wait_for(lambda: "gone" in replica.backends, 2.0)
             for _ in range(40):
                 assert (await site.call("/unsafe/x")).status == 200
-            asked = [seen.headers["x-target-instance"] for seen in other.seen]
-            assert asked.count("gone") <= 1
+            targets = [request.headers["x-target-instance"] for request in other.seen]
+            assert targets.count("gone") <= 1
 
     run(case())
 
 
-def test_serve_on_beside_records_of_other_writers() -> None:
-    """Other writers leave records that name no server, among those of live ones.
+def test_ignore_records_of_other_writers() -> None:
+    """Other writers append records that describe no backend server.
 
-    One replaces the record of a live server: it is used again with its next heartbeat,
-    and the others are used all the time.
+    One replaces the record of a live server, which is used again from its next
+    heartbeat on; all other servers stay in use.
     """
 
     async def case() -> None:
@@ -105,20 +105,20 @@
             store.put(BACKENDS, "x2", {"service": "plain", "address": 5})
             store.put(BACKENDS, "x3", {**other.record, "state": "resting"})
             store.put(BACKENDS, "p1", {"hello": "world"})
-            knowledge = site.instances[0].replica
-            await wait_for(lambda: set(knowledge.backends) == {"p2"}, 2.0)
+            replica = site.instances[0].replica
+            await wait_for(lambda: set(replica.backends) == {"p2"}, 2.0)
             assert (await site.call("/unsafe/x")).status == 200
             assert len(other.seen) == 1
             store.put(BACKENDS, "p1", site.backends[0].record)
-            await wait_for(lambda: set(knowledge.backends) == {"p1", "p2"}, 2.0)
+            await wait_for(lambda: set(replica.backends) == {"p1", "p2"}, 2.0)
 
     run(case())
 
 
 def test_read_past_a_record_without_a_key() -> None:
-    """A record of no bytes stands between two others.
+    """An empty record precedes another one.
 
-    Taken for an answer that is broken off, it would stop this topic for good.
+    If it were taken for a truncated response, the topic could never be read again.
     """
 
     async def case() -> None:
--- a/tests/platform/test_stops.py
+++ b/tests/platform/test_stops.py
@@ -1,4 +1,4 @@
-"""Stops of instances: what they still take, and what becomes of what is in flight."""
+"""Instances that stop: which requests they still accept, and how others end."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from tests.platform.test_instances import is_ready, resolve
 
 
-def test_leave_without_cutting_a_request() -> None:
-    """An instance is told to stop while it answers, and callers still hold its address.
+def test_stop_without_cutting_a_request() -> None:
+    """An instance is told to stop while callers still have its address.
 
-    It is not ready and out of the addresses at once, serves what comes, asks callers to
-    close their connections, and ends when nothing is in flight.
+    It is not ready and no longer listed at once, serves requests that still arrive,
+    asks callers to close their connections, and stops when no request is in flight.
     """
 
     async def case() -> None:
@@ -40,72 +40,77 @@
     run(case())
 
 
-def test_take_no_stream_that_the_stop_would_cut() -> None:
-    """A caller sends a stream over a kept connection, well after the signal to stop.
+def test_reject_a_stream_that_the_stop_would_cut() -> None:
+    """A stream request arrives on a persistent connection, well after the stop signal.
 
-    The instance took whatever came in the first seconds, however little time was left.
+    It must not be accepted merely because it arrives in the first seconds of the stop:
+    the time left matters.
     """
 
     async def case() -> None:
         async with open_site("e1") as site:
             engine = site.backends[0]
             engine.events, engine.pause_s = 8, 0.15
-            async with open_connection(site.settings[0].callers_address) as ask:
-                assert (await ask("/stream/x")).event_ids == list(range(1, 9))
+            async with open_connection(site.settings[0].callers_address) as send:
+                assert (await send("/stream/x")).event_ids == list(range(1, 9))
                 leaving = asyncio.ensure_future(site.instances[0].leave())
                 await asyncio.sleep(1.6)
-                answer = await ask("/stream/x")
-            assert answer.status == 503
-            assert answer.headers["connection"].lower() == "close"
-            assert float(answer.headers["retry-after"]) > 0
+                response = await send("/stream/x")
+            assert response.status == 503
+            assert response.headers["connection"].lower() == "close"
+            assert float(response.headers["retry-after"]) > 0
             assert len(engine.seen) == 1
             await leaving
 
     run(case())
 
 
-def test_reckon_with_a_signal_that_came_in_a_standstill() -> None:
-    """An instance that stood still hears of its stop late, and is ended on time.
+def test_allow_for_a_stop_signal_that_is_handled_late() -> None:
+    """A stalled instance handles its stop signal late but is killed on schedule.
 
-    It took what would last as long as the whole grace from when it woke.
+    It must not accept requests as if the whole grace period began when it resumed.
     """
 
     async def case() -> None:
         async with open_site("p1") as site:
-            async with open_connection(site.settings[0].callers_address) as ask:
-                assert (await ask("/open/x")).status == 200
+            async with open_connection(site.settings[0].callers_address) as send:
+                assert (await send("/open/x")).status == 200
                 time.sleep(2.1)  # noqa: ASYNC251
                 await asyncio.sleep(0.05)
                 leaving = asyncio.ensure_future(site.instances[0].leave())
                 await asyncio.sleep(0)
-                answer = await ask("/open/x")
-                assert answer.status == 503
-                assert json.loads(answer.body)["kind"] == "leaving"
+                response = await send("/open/x")
+                assert response.status == 503
+                assert json.loads(response.body)["kind"] == "leaving"
             await leaving
 
     run(case())
 
 
-def test_answer_what_the_stop_overtakes() -> None:
-    """A server doesn't answer, and the instance ends before the caller's time is over.
+def test_respond_to_requests_in_flight_when_stopping() -> None:
+    """A server does not respond, and the instance stops before the callers' deadline.
 
-    The connection was closed without a word, also where the request had never run.
+    Callers get a response instead of a closed connection, and one that they may retry
+    if their request was never sent.
     """
 
     async def case() -> None:
         async with open_site("p1") as site:
             server, forwarder = site.backends[0], site.instances[0].forwarder
             server.behaviour = "mute"
-            asking = [
+            calls = [
                 asyncio.ensure_future(site.call("/safe/x", X_Attempt_Id=f"a{n}"))
                 for n in range(20)
             ]
             await wait_for(lambda: forwarder.in_flight == 20 and len(server.seen) == 16)
             await forwarder.shut_down()
-            answers = await asyncio.gather(*asking)
-            assert Counter(answer.status for answer in answers) == {502: 16, 503: 4}
-            for answer in answers:
-                assert json.loads(answer.body)["kind"] == "instance_stopped"
-                assert ("retry-after" in answer.headers) == (answer.status == 503)
+            responses = await asyncio.gather(*calls)
+            assert Counter(response.status for response in responses) == {
+                502: 16,
+                503: 4,
+            }
+            for response in responses:
+                assert json.loads(response.body)["kind"] == "instance_stopped"
+                assert ("retry-after" in response.headers) == (response.status == 503)
 
     run(case())
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Reading the store's answers while the instance is told to stop."""
+"""Cancellation while a response of the store is read."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 from tests.platform.site import run
 
 STEPS = 12
-"""Turns of the loop after which the reader is cancelled, one case for each."""
-PARTS = 1000
+"""One test case per number of event loop iterations before the cancellation."""
+CHUNKS = 1000
 
 
-class LongAnswer:
-    """Have the next part of an answer ready at any time."""
+class LongResponse:
+    """A response whose next chunk is always available."""
 
     def __init__(self) -> None:
-        self.parts = 0
+        self.chunks = 0
 
     async def read_chunk(self) -> bytes:
-        """Return a part after one turn of the loop."""
+        """Return a chunk after one iteration of the event loop."""
         await asyncio.sleep(0)
-        self.parts += 1
-        return b"x" if self.parts < PARTS else b""
+        self.chunks += 1
+        return b"x" if self.chunks < CHUNKS else b""
 
 
 @pytest.mark.parametrize("steps", range(STEPS))
-def test_end_when_a_cancellation_meets_an_answer(steps: int) -> None:
-    """An instance is told to stop in the moment in which a part of an answer comes.
+def test_cancel_while_a_chunk_arrives(steps: int) -> None:
+    """A reader is cancelled just as a chunk of a response arrives.
 
-    The cancellation was taken for that answer's end of waiting and lost: the reader
-    went on, met a store that was closed, and asked it for ever; the process stayed.
+    If the cancellation were swallowed with the end of the wait for that chunk, the
+    reader would run on, retry the closed store forever, and the process would not exit.
     """
 
     async def case() -> None:
-        answer: Any = LongAnswer()
-        reader = asyncio.ensure_future(_read_body(answer))
+        response: Any = LongResponse()
+        reader = asyncio.ensure_future(_read_body(response))
         for _ in range(steps):
             await asyncio.sleep(0)
         reader.cancel()
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's formats: settings, records, header fields, the store."""
+"""Translation of the platform's settings, records, header fields and store calls."""
 
 from __future__ import annotations
 
@@ -66,13 +66,13 @@
         ({"provider": None}, "provider"),
     ],
 )
-def test_name_the_field_that_is_wrong(change: dict[str, Any], named: str) -> None:
-    with pytest.raises(UsageError, match=named) as caught:
+def test_name_the_invalid_field(change: dict[str, Any], named: str) -> None:
+    with pytest.raises(UsageError, match=named) as raised:
         parse_settings(json.dumps(SETTINGS | change).encode(), "boot.json")
-    assert "boot.json" in caught.value.message
+    assert "boot.json" in raised.value.message
 
 
-def test_say_that_the_settings_file_is_missing(tmp_path: Path) -> None:
+def test_report_a_missing_settings_file(tmp_path: Path) -> None:
     with pytest.raises(UsageError, match="can't read the settings file"):
         read_settings(str(tmp_path / "none"))
 
@@ -81,38 +81,38 @@
 def test_exit_with_a_message_on_bad_settings(tmp_path: Path, text: str) -> None:
     path = tmp_path / "boot.json"
     path.write_text(text)
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "baobabthread.platform", "--settings", str(path)],
         capture_output=True,
         text=True,
         check=False,
     )
-    assert done.returncode == 2
-    assert "Error: settings file" in done.stderr
-    assert "Remedy:" in done.stderr
-    assert "Traceback" not in done.stderr
+    assert completed.returncode == 2
+    assert "Error: settings file" in completed.stderr
+    assert "Remedy:" in completed.stderr
+    assert "Traceback" not in completed.stderr
 
 
 def test_decode_a_configuration() -> None:
-    found = decode_configuration(json.dumps(make_configuration(9)).encode())
-    assert found.version == 9
-    kinds = {route.name: route.kind for route in found.routes}
+    decoded = decode_configuration(json.dumps(make_configuration(9)).encode())
+    assert decoded.version == 9
+    kinds = {route.name: route.kind for route in decoded.routes}
     assert kinds["safe"] is RequestKind.IDEMPOTENT
     assert kinds["unsafe"] is RequestKind.NON_IDEMPOTENT
-    stream = next(route for route in found.routes if route.name == "stream")
+    stream = next(route for route in decoded.routes if route.name == "stream")
     assert stream.may_retry and stream.is_stream and stream.has_prompts
-    assert not next(route for route in found.routes if route.name == "once").may_retry
+    assert not next(route for route in decoded.routes if route.name == "once").may_retry
 
 
-def test_let_nothing_of_an_unknown_kind_run_twice() -> None:
+def test_treat_an_unknown_kind_as_non_idempotent() -> None:
     text = make_configuration()
     text["routes"][0]["kind"] = "keyed"  # type: ignore[index]
-    found = decode_configuration(json.dumps(text).encode())
-    assert not found.routes[0].may_retry
+    decoded = decode_configuration(json.dumps(text).encode())
+    assert not decoded.routes[0].may_retry
 
 
 @pytest.mark.parametrize("value", [b"", b"[]", b'{"version":"x"}', b'{"routes":[]}'])
-def test_refuse_a_configuration_that_is_none(value: bytes) -> None:
+def test_reject_an_invalid_configuration(value: bytes) -> None:
     with pytest.raises(ConfigurationError):
         decode_configuration(value)
 
@@ -138,7 +138,7 @@
     assert records.decode_status(record) == status
 
 
-def test_write_the_head_of_a_request() -> None:
+def test_encode_the_head_of_a_request() -> None:
     head = PlatformWireFormat().encode_request(
         "POST",
         "/a?b",
@@ -174,12 +174,12 @@
     ("value", "count"),
     [("a:1,b:2", 2), ("", 0), ("a", 0), ("a:x", 0), (" a:1 , b:2 ", 2)],
 )
-def test_read_the_parts_of_a_prompt(value: str, count: int) -> None:
+def test_parse_the_parts_of_a_prompt(value: str, count: int) -> None:
     envelope = PlatformWireFormat().decode_envelope({"X-Prompt-Prefix": value})
     assert len(envelope.prompt_parts) == count
 
 
-def test_pass_over_fields_that_cannot_be_read() -> None:
+def test_ignore_invalid_fields() -> None:
     envelope = PlatformWireFormat().decode_envelope(
         {"X-Timeout-Ms": "soon", "X-Token-Usage": "9", "Authorization": "Basic x"}
     )
@@ -215,7 +215,7 @@
     run(case())
 
 
-def test_fail_in_time_when_the_store_is_silent_or_busy() -> None:
+def test_fail_when_the_store_is_silent_or_busy() -> None:
     async def case() -> None:
         fake = await FakeStore().start()
         store = PlatformStore(address=fake.address, connect_s=0.5)
@@ -246,13 +246,13 @@
 
 
 def test_decode_a_backend_server() -> None:
-    found = decode_backend("s1", json.dumps(SERVER).encode())
-    assert (found.capacity, found.leaving, found.incarnation) == (6, False, "s1")
+    backend = decode_backend("s1", json.dumps(SERVER).encode())
+    assert (backend.capacity, backend.leaving, backend.incarnation) == (6, False, "s1")
     text = json.dumps(SERVER | {"born": 1700, "state": "draining"}).encode()
-    found = decode_backend("s1", text)
-    assert found.leaving
-    assert found.started_ms == 1700
-    assert found.incarnation != "s1"
+    backend = decode_backend("s1", text)
+    assert backend.leaving
+    assert backend.started_ms == 1700
+    assert backend.incarnation != "s1"
 
 
 @pytest.mark.parametrize(
@@ -271,27 +271,27 @@
         {"zone": ["a"]},
     ],
 )
-def test_use_no_server_that_another_writer_names(change: dict[str, Any]) -> None:
+def test_reject_a_server_record_with_an_invalid_field(change: dict[str, Any]) -> None:
     with pytest.raises(ConfigurationError, match="s1"):
         decode_backend("s1", json.dumps(SERVER | change).encode())
 
 
 @pytest.mark.parametrize("missing", ["service", "address", "version", "slots", "state"])
-def test_use_no_server_whose_record_lacks_a_field(missing: str) -> None:
+def test_reject_a_server_record_that_lacks_a_field(missing: str) -> None:
     text = {name: value for name, value in SERVER.items() if name != missing}
     with pytest.raises(ConfigurationError):
         decode_backend("s1", json.dumps(text).encode())
 
 
 @pytest.mark.parametrize("value", [b"\xff\x00", b"[" * 100_000, b"{", b"7"])
-def test_use_no_server_whose_record_is_no_text(value: bytes) -> None:
+def test_reject_a_server_record_that_is_not_an_object(value: bytes) -> None:
     with pytest.raises(ConfigurationError):
         decode_backend("s1", value)
 
 
-def test_store_a_held_request_by_the_time_of_its_end() -> None:
+def test_store_a_quarantined_request_by_the_time_of_its_end() -> None:
     formats = PlatformRecordFormat()
-    held = QuarantineEntry(
+    entry = QuarantineEntry(
         fingerprint="f1",
         service="s",
         times=2,
@@ -299,14 +299,14 @@
         is_cleared=True,
         versions=("v1",),
     )
-    append = formats.encode_quarantined(held, 7, unix_now=1000.0)
+    append = formats.encode_quarantined(entry, 7, unix_now=1000.0)
     assert (append.topic, append.expected_end) == ("keyed.status", 7)
     assert json.loads(append.value)["until_ms"] == 1_060_000
     record = Record(key=append.key, value=append.value, offset=7)
     later = formats.decode_quarantined(record, unix_now=1010.0)
-    assert later == msgspec.structs.replace(held, left_s=50.0)
-    gone = formats.encode_release("f1", 8)
-    assert (gone.key, gone.value) == (append.key, b"")
-    for key, value in ((gone.key, b""), ("rollout/s", b"{}")):
+    assert later == msgspec.structs.replace(entry, left_s=50.0)
+    release = formats.encode_release("f1", 8)
+    assert (release.key, release.value) == (append.key, b"")
+    for key, value in ((release.key, b""), ("rollout/s", b"{}")):
         other = Record(key=key, value=value, offset=0)
         assert formats.decode_quarantined(other, unix_now=0.0) is None
