--- a/tests/platform/test_mechanisms.py
+++ b/tests/platform/test_mechanisms.py
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize(("off", "count"), [(None, 1), (Mechanism.LOAD_QUERIES, 0)])
-def test_report_placements_only_with_loads_enabled(
+def test_report_placements_only_with_load_queries(
     monkeypatch: pytest.MonkeyPatch, off: Mechanism | None, count: int
 ) -> None:
     messages: list[PromptPlaced] = []
@@ -48,10 +48,10 @@
     assert len(messages) == count
 
 
-def test_wait_for_a_silent_server_without_silence_timeouts() -> None:
+def test_wait_for_a_silent_server_without_attempt_timeouts() -> None:
     """One of two servers executes the request and never responds.
 
-    With silence timeouts enabled the other server responds; without them the request
+    With attempt timeouts enabled the other server responds; without them the request
     ends at its deadline.
     """
 
