--- a/src/baobabthread/platform/program.py
+++ b/src/baobabthread/platform/program.py
@@ -61,7 +61,7 @@
         read_settings(arguments.settings), off=frozenset(arguments.without)
     )
     port, _, path = (arguments.metrics or "").partition("/")
-    outside = Adapters(
+    adapters = Adapters(
         store=PlatformStore(
             address=settings.store_address, connect_s=CONNECT_TIMEOUT_S
         ),
@@ -73,4 +73,4 @@
         metrics_address=f"{settings.ip}:{port}" if port else None,
         metrics_path=f"/{path}",
     )
-    return await Instance(settings=settings, adapters=outside).run()
+    return await Instance(settings=settings, adapters=adapters).run()
--- a/src/baobabthread/platform/records.py
+++ b/src/baobabthread/platform/records.py
@@ -33,7 +33,7 @@
 MAX_PORT = 65_535
 MS_PER_S = 1000.0
 
-_REPEATABILITY_BY_KIND = {
+_REQUEST_KINDS = {
     "idempotent": RequestKind.IDEMPOTENT,
     "streaming": RequestKind.STREAM,
 }
@@ -288,7 +288,7 @@
         host=route.host,
         path_prefix=route.path_prefix,
         # Requests of an unknown kind must not run twice.
-        kind=_REPEATABILITY_BY_KIND.get(route.kind, RequestKind.NON_IDEMPOTENT),
+        kind=_REQUEST_KINDS.get(route.kind, RequestKind.NON_IDEMPOTENT),
         targets=targets,
         timeout_s=route.timeout_ms / MS_PER_S,
         objective_s=(route.slo_ms or route.timeout_ms) / MS_PER_S,
@@ -339,11 +339,11 @@
         capacity=max(1, server.slots),
         leaving=server.state is _ServerState.DRAINING,
         started_ms=max(0, server.born),
-        warmup_left_s=_parse_cold_left_s(server.cold_left_ms),
+        warmup_left_s=_parse_warmup_left_s(server.cold_left_ms),
     )
 
 
-def _parse_cold_left_s(left_ms: float | str | None) -> float:
+def _parse_warmup_left_s(left_ms: float | str | None) -> float:
     return left_ms / MS_PER_S if isinstance(left_ms, float) else 0.0
 
 
--- a/src/baobabthread/platform/store.py
+++ b/src/baobabthread/platform/store.py
@@ -35,7 +35,7 @@
 """Time without data after which a response that has begun counts as broken off."""
 RESPONSE_TIMEOUT_S = 6.0
 """Timeout for a response that keeps making progress: a configuration of two thousand
-routes takes one second over a 5 Mbit/s link, and several of them in a row take more."""
+routes takes one second over a 5 Mbit/s link, a few of them in a row several seconds."""
 LENGTH_BYTES = 4
 OFFSETS_BYTES = 16
 EMPTY_RECORD = b"\0"
--- a/tests/platform/site.py
+++ b/tests/platform/site.py
@@ -135,7 +135,7 @@
         settings = msgspec.structs.replace(
             parse_settings(json.dumps(text).encode(), "test"), off=off
         )
-        outside = Adapters(
+        adapters = Adapters(
             store=PlatformStore(address=settings.store_address, connect_s=0.3),
             formats=PlatformRecordFormat(),
             wire=PlatformWireFormat(),
@@ -143,7 +143,7 @@
                 is_ready=is_ready, find_addresses=find
             ),
         )
-        instance = Instance(settings=settings, adapters=outside)
+        instance = Instance(settings=settings, adapters=adapters)
         stack = contextlib.AsyncExitStack()
         await instance.start(stack)
         self.instances.append(instance)
--- a/tests/platform/test_instances.py
+++ b/tests/platform/test_instances.py
@@ -166,8 +166,8 @@
                 await site.add_instance(f"i{number}", ip=f"127.0.0.{number}")
             for index in range(6):
                 await site.wait_ready(index)
-            relay = site.instances[0].peers.replica_sync
-            await wait_for(lambda: relay.members == 6)
+            replica_sync = site.instances[0].peers.replica_sync
+            await wait_for(lambda: replica_sync.members == 6)
             site.store.fault = "busy"
             await asyncio.sleep(1.6)
             site.store.calls.clear()
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -118,8 +118,8 @@
 
 
 def test_decode_orders_and_status() -> None:
-    records = PlatformRecordFormat()
-    order = records.decode_operator_record(
+    formats = PlatformRecordFormat()
+    order = formats.decode_operator_record(
         Record(
             key="rollout/s",
             value=b'{"service":"s","target":"v2","deadline_s":12}',
@@ -127,15 +127,15 @@
         )
     )
     assert order == RolloutOrder(number=8, service="s", target="v2", time_limit_s=12)
-    assert records.decode_operator_record(Record(key="x", value=b"?", offset=1)) is None
+    assert formats.decode_operator_record(Record(key="x", value=b"?", offset=1)) is None
     status = RolloutStatus(
         service="s", target="v2", state=RolloutState.REVERTED, number=8, elapsed_s=1.5
     )
-    append = records.encode_status(status, 4)
+    append = formats.encode_status(status, 4)
     assert (append.key, append.expected_end) == ("rollout/s", 4)
     assert b'"state":"reverted"' in append.value
     record = Record(key=append.key, value=append.value, offset=4)
-    assert records.decode_status(record) == status
+    assert formats.decode_status(record) == status
 
 
 def test_encode_the_head_of_a_request() -> None:
