--- a/tests/platform/test_cold.py
+++ b/tests/platform/test_cold.py
@@ -113,7 +113,7 @@
 
     Otherwise all requests until the next periodic check would go to the cold server.
     """
-    monkeypatch.setattr(process, "TICK_S", 30.0)
+    monkeypatch.setattr(process, "TICK_INTERVAL_S", 30.0)
 
     async def case() -> None:
         async with open_site("p1", services=SERVICES) as site:
