--- a/tests/platform/crashes.py
+++ b/tests/platform/crashes.py
@@ -66,10 +66,10 @@
         return backend
 
     def _record_arrival(
-        self, backend: FakeBackend, seen: ReceivedRequest, executed: bool
+        self, backend: FakeBackend, request: ReceivedRequest, executed: bool
     ) -> None:
         if executed:
-            self.arrivals.append((_now(), seen.body))
+            self.arrivals.append((_now(), request.body))
 
     def _handle_crash(self, backend: FakeBackend) -> None:
         self.crashes.append(Crash(backend.id, _now()))
--- a/tests/platform/fakes.py
+++ b/tests/platform/fakes.py
@@ -75,7 +75,7 @@
         self.events = 3
         self.pause_s = 0.0
         self.seen: list[ReceivedRequest] = []
-        self.on_arrival: OnArrival = lambda backend, seen, executed: None
+        self.on_arrival: OnArrival = lambda backend, request, executed: None
         self.crash_on = b""
         """Substring of request bodies that crash the server; empty for none."""
         self.crash_account = ""
@@ -138,16 +138,16 @@
             writer.transport.abort()
         self.on_crash(self)
 
-    def _crashes_under(self, seen: ReceivedRequest) -> bool:
-        if self.crash_account not in ("", seen.headers.get("x-tenant")):
+    def _crashes_under(self, request: ReceivedRequest) -> bool:
+        if self.crash_account not in ("", request.headers.get("x-tenant")):
             return False
-        return bool(self.crash_on) and self.crash_on in seen.body
+        return bool(self.crash_on) and self.crash_on in request.body
 
-    def _choose_behaviour(self, seen: ReceivedRequest) -> str:
-        target = seen.headers.get("x-target-instance", self.id)
+    def _choose_behaviour(self, request: ReceivedRequest) -> str:
+        target = request.headers.get("x-target-instance", self.id)
         if target != self.id:
             return "misdirected"
-        return "crash" if self._crashes_under(seen) else self.behaviour
+        return "crash" if self._crashes_under(request) else self.behaviour
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -155,18 +155,20 @@
         self._open.add(writer)
         try:
             while True:
-                seen = await _read_request(reader)
-                self.seen.append(seen)
-                behaviour = self._choose_behaviour(seen)
+                request = await _read_request(reader)
+                self.seen.append(request)
+                behaviour = self._choose_behaviour(request)
                 if self.cold_left_s and behaviour != "misdirected":
                     self.cold_arrivals.append(time.monotonic())
-                seen.cold_left_s = self.cold_left_s if self.reports_cold else 0.0
-                self.on_arrival(self, seen, behaviour not in NOT_EXECUTED)
-                work = asyncio.ensure_future(BEHAVIOURS[behaviour](self, seen, writer))
+                request.cold_left_s = self.cold_left_s if self.reports_cold else 0.0
+                self.on_arrival(self, request, behaviour not in NOT_EXECUTED)
+                work = asyncio.ensure_future(
+                    BEHAVIOURS[behaviour](self, request, writer)
+                )
                 while not work.done():
                     await asyncio.wait({work}, timeout=0.02)
                     if reader.at_eof() and not work.done():
-                        seen.was_aborted = True
+                        request.was_aborted = True
                         work.cancel()
                         return
                 work.result()
@@ -185,18 +187,18 @@
         name.lower(): value.strip()
         for name, _, value in (field.partition(":") for field in fields)
     }
-    seen = ReceivedRequest(method, target, headers)
-    seen.body = await reader.readexactly(int(headers.get("content-length", "0")))
-    return seen
+    request = ReceivedRequest(method, target, headers)
+    request.body = await reader.readexactly(int(headers.get("content-length", "0")))
+    return request
 
 
-def render_response_head(seen: ReceivedRequest, status: int, **more: str) -> bytes:
+def render_response_head(request: ReceivedRequest, status: int, **more: str) -> bytes:
     """Return the head of the response to a request."""
-    fields = {"X-Attempt-Id": seen.headers.get("x-attempt-id", "")}
+    fields = {"X-Attempt-Id": request.headers.get("x-attempt-id", "")}
     if status < 300 or status >= 500:
         fields["X-Response-Signature"] = SIGNATURE
-    if seen.cold_left_s:
-        fields["X-Cold-Ms"] = str(round(seen.cold_left_s * 1000))
+    if request.cold_left_s:
+        fields["X-Cold-Ms"] = str(round(request.cold_left_s * 1000))
     fields |= {name.replace("_", "-"): value for name, value in more.items()}
     lines = [f"HTTP/1.1 {status} X"]
     lines += [f"{name}: {value}" for name, value in fields.items()]
@@ -205,37 +207,39 @@
 
 @register_behaviour("answer")
 async def respond(
-    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    backend: FakeBackend, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Send a complete response; an event stream if the request names a model."""
     await asyncio.sleep(backend.pause_s)
-    if "x-model" in seen.headers:
-        await stream(backend, seen, writer)
+    if "x-model" in request.headers:
+        await stream(backend, request, writer)
         return
     body = f"answer of {backend.id}".encode()
-    writer.write(render_response_head(seen, 200, Content_Length=str(len(body))) + body)
+    writer.write(
+        render_response_head(request, 200, Content_Length=str(len(body))) + body
+    )
 
 
 async def stream(
     backend: FakeBackend,
-    seen: ReceivedRequest,
+    request: ReceivedRequest,
     writer: asyncio.StreamWriter,
     *,
     cut: int = -1,
 ) -> None:
     """Send the events after the last received one; reset within event `cut`."""
-    model = seen.headers["x-model"]
+    model = request.headers["x-model"]
     confidence = str(backend.confidence.get(model, 100))
     writer.write(
         render_response_head(
-            seen,
+            request,
             200,
             Content_Type="text/event-stream",
             Transfer_Encoding="chunked",
             X_Confidence=confidence,
         )
     )
-    start = int(seen.headers.get("last-event-id", "0"))
+    start = int(request.headers.get("last-event-id", "0"))
     for number in range(start + 1, backend.events + 1):
         event = f"id: {number}\ndata: {model} piece {number}\n\n".encode()
         if number == cut:
@@ -256,42 +260,44 @@
 
 @register_behaviour("stream_cut")
 async def cut_stream(
-    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    backend: FakeBackend, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Reset the connection within the second event."""
-    await stream(backend, seen, writer, cut=2)
+    await stream(backend, request, writer, cut=2)
 
 
 @register_behaviour("fail")
 async def fail(
-    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    backend: FakeBackend, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Execute the request and respond with a failure."""
     body = b"own failure"
-    writer.write(render_response_head(seen, 500, Content_Length=str(len(body))) + body)
+    writer.write(
+        render_response_head(request, 500, Content_Length=str(len(body))) + body
+    )
 
 
 @register_behaviour("shed")
 async def shed(
-    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    backend: FakeBackend, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Reject the request without executing it."""
     writer.write(
-        render_response_head(seen, 503, X_Not_Executed="1", Content_Length="0")
+        render_response_head(request, 503, X_Not_Executed="1", Content_Length="0")
     )
 
 
 @register_behaviour("misdirected")
 async def misdirect(
-    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    backend: FakeBackend, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Reject a request for another backend server that had this address before."""
-    writer.write(render_response_head(seen, 421, Content_Length="0"))
+    writer.write(render_response_head(request, 421, Content_Length="0"))
 
 
 @register_behaviour("mute")
 async def never_respond(
-    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    backend: FakeBackend, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Execute the request and never respond."""
     await asyncio.sleep(30)
@@ -299,20 +305,20 @@
 
 @register_behaviour("cut")
 async def cut(
-    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    backend: FakeBackend, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Reset the connection in the middle of the body."""
-    writer.write(render_response_head(seen, 200, Content_Length="100") + b"half")
+    writer.write(render_response_head(request, 200, Content_Length="100") + b"half")
     await writer.drain()
     writer.transport.abort()
 
 
 @register_behaviour("unframed_reset")
 async def reset_unframed(
-    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    backend: FakeBackend, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Send a body without a length and reset the connection instead of closing it."""
-    writer.write(render_response_head(seen, 200) + b"half of a body")
+    writer.write(render_response_head(request, 200) + b"half of a body")
     await writer.drain()
     await asyncio.sleep(0.02)
     sock = writer.get_extra_info("socket")
@@ -322,26 +328,26 @@
 
 @register_behaviour("unframed")
 async def respond_unframed(
-    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    backend: FakeBackend, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Send a complete body without a length that ends as the connection closes."""
-    writer.write(render_response_head(seen, 200) + b"whole body")
+    writer.write(render_response_head(request, 200) + b"whole body")
     await writer.drain()
     writer.close()
 
 
 @register_behaviour("extra")
 async def respond_twice(
-    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    backend: FakeBackend, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Send a second response after a complete one."""
-    await respond(backend, seen, writer)
-    writer.write(render_response_head(seen, 200, Content_Length="5") + b"stray")
+    await respond(backend, request, writer)
+    writer.write(render_response_head(request, 200, Content_Length="5") + b"stray")
 
 
 @register_behaviour("other_id")
 async def respond_to_other(
-    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    backend: FakeBackend, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Send the response to another request."""
     other = ReceivedRequest("GET", "/", {"x-attempt-id": "of-somebody-else"})
@@ -350,10 +356,10 @@
 
 @register_behaviour("unsigned")
 async def respond_unsigned(
-    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    backend: FakeBackend, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Respond with success but without a signature."""
-    id = seen.headers["x-attempt-id"]
+    id = request.headers["x-attempt-id"]
     writer.write(
         f"HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nContent-Length: 2\r\n\r\nok".encode()
     )
@@ -361,12 +367,12 @@
 
 @register_behaviour("crash")
 async def crash_under(
-    backend: FakeBackend, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    backend: FakeBackend, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Start the request, send a first event if it is a stream, and crash."""
-    if "x-model" in seen.headers:
+    if "x-model" in request.headers:
         head = render_response_head(
-            seen,
+            request,
             200,
             Content_Type="text/event-stream",
             Transfer_Encoding="chunked",
