--- a/tests/bench/test_fleet.py
+++ b/tests/bench/test_fleet.py
@@ -176,7 +176,7 @@
 
 
 def holds(member: Any) -> bool:
-    return bool(member.link.quarantine.quarantine.names(now()))
+    return bool(member.link.quarantine.quarantine.quarantined(now()))
 
 
 @pytest.mark.parametrize("lost", [0, 60])
