--- a/src/baobabthread/routing/budget.py
+++ b/src/baobabthread/routing/budget.py
@@ -12,17 +12,15 @@
 """Fraction of the common bound that is used; the rest covers what only some instances
 see."""
 SHARED_FRACTION = 0.25
-"""Fraction of the fixed bound that is divided among the instances, since their views of
-the membership may differ."""
+"""Fraction of the fixed allowance, `retry_extra`, that is divided among the instances,
+since their views of the membership may differ."""
 SINGLE_INSTANCE_FRACTION = 0.425
-"""Fraction of the fixed bound used by an instance whose settings name no others. If it
-is killed and restarted, it can spend that fraction twice within a window."""
+"""Fraction of the fixed allowance used by an instance whose settings name no others. If
+it is killed and restarted, it can spend that fraction twice within a window."""
 INITIAL_RETRIES = 1.0
 """Retries allowed in addition to the ratio, but never more than there were requests."""
 BUCKET_S = 0.1
 """Time over which requests and retries are counted in one bucket."""
-
-
 STALL_S = 0.5
 """Gap between two ticks from which on the process counts as stalled."""
 BACKLOG_S = 1.0
@@ -62,7 +60,7 @@
 
 class _Bucket(msgspec.Struct):
     at: float
-    """Start of the bucket."""
+    """Time of its first event."""
     number: int = 0
 
 
@@ -91,10 +89,10 @@
 
 
 class MemberCount:
-    """Number of instances among which the fixed part of a bound is divided.
+    """Number of instances among which the fixed allowance is divided.
 
     An instance that is partitioned or has just started sees only itself. Without this
-    it would take the whole fixed part, and again after each restart.
+    it would take the whole allowance, and again after each restart.
     """
 
     __slots__ = ("_is_single", "_max_seen", "_settled_at")
@@ -117,14 +115,14 @@
         self._max_seen = max(self._max_seen, count)
 
     def compute_share(self, now: float) -> float:
-        """Return this instance's share of the fixed bound, from 0 to 1."""
+        """Return this instance's share of the fixed allowance, from 0 to 1."""
         if self._max_seen > 1:
             return SHARED_FRACTION / self._max_seen if now >= self._settled_at else 0.0
         return SINGLE_INSTANCE_FRACTION if self._is_single else 0.0
 
 
 class RetryBudget:
-    """Budget of retries per window: a ratio of the requests plus a fixed share.
+    """Budget of retries per window: a ratio of the requests plus a fixed number.
 
     Each instance counts only its own requests and retries, so that the common bound
     holds without communication.
@@ -136,8 +134,9 @@
         self._ratio = bounds.retry_ratio * USABLE_FRACTION
         self._extra = bounds.retry_extra
         self._members = members
-        # A bucket is dated by its start: requests expire up to one bucket too early and
-        # retries up to one bucket too late, so that rounding never exceeds the bound.
+        # A bucket is dated by its start: requests expire one to two buckets too early
+        # and retries up to one bucket too late, so that rounding never exceeds the
+        # bound.
         self._requests = _SlidingWindow(length_s=bounds.retry_window_s - BUCKET_S)
         self._retries = _SlidingWindow(length_s=bounds.retry_window_s + BUCKET_S)
 
--- a/src/baobabthread/routing/configuration.py
+++ b/src/baobabthread/routing/configuration.py
@@ -81,7 +81,7 @@
     max_connections: int
     """Connections that one backend server accepts in total."""
     capacity: int = 0
-    """Requests that one engine runs concurrently; 0 if only its record has it."""
+    """Requests that one engine runs concurrently; 0 if only its record states it."""
     memory_tokens: int = 0
     """Tokens that one engine holds, both running and cached; 0 if unknown."""
     models: tuple[ModelCost, ...] = ()
--- a/src/baobabthread/routing/crashes.py
+++ b/src/baobabthread/routing/crashes.py
@@ -2,7 +2,7 @@
 
 A crash fails all requests on the server, and innocent ones may be retried into the next
 crash. A request is only suspected if it alone was present at each of several crashes.
-If others were present at all of them too, the next crash tells them apart.
+If others were present at all of them too, the next crash distinguishes them.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 chance when several servers are lost in a row, and each further one costs callers
 another server."""
 MIN_CRASHES_IF_AMBIGUOUS = 6
-"""Crashes from which on all requests present at each of them are quarantined together.
-An innocent request does not get that far: its route limits its attempts, and one of
-them succeeds."""
+"""Crashes from which on a request is quarantined even if others were present at each of
+them too. An innocent request does not get that far: its route limits its attempts, and
+one of them succeeds."""
 SETTLE_S = 0.15
 """Time from the first report of a crash until it is analyzed. Instances that detect it
 later report more requests, without which the wrong one could be the only suspect."""
@@ -170,7 +170,7 @@
     def list_unproven_crashes(
         self, now: float, quarantined: Collection[str]
     ) -> list[tuple[str, str]]:
-        """Return service and version of crashes to blame on them, each crash once.
+        """Return service and version of crashes blamed on the version, each crash once.
 
         These are crashes of versions without recent responses, under requests that
         aren't quarantined: the version does not work, or no longer does.
--- a/src/baobabthread/routing/evaluation.py
+++ b/src/baobabthread/routing/evaluation.py
@@ -14,7 +14,8 @@
 MIN_RESPONSES = 12
 """Responses of the new version that suffice for its promotion."""
 MIN_KNOWN_FRACTION = 0.5
-"""Fraction of its requests that must have responses if they are fewer than that."""
+"""Fraction of the attempts on the new version whose responses suffice if that is fewer
+than `MIN_RESPONSES`."""
 COMPLETION_FRACTION = 0.02
 MIN_COMPLETION_S = 0.35
 MAX_COMPLETION_S = 0.6
@@ -22,7 +23,7 @@
 the old version, as a fraction of the limit and with bounds. Their streams can be
 resumed, whereas a missed limit cannot be repaired."""
 EARLIEST_COMPLETION_FACTOR = 1.25
-"""Multiple of that time before the limit from which a roll-out may be completed."""
+"""No roll-out is completed earlier than this multiple of that time before its limit."""
 
 
 def evaluate_rollout(
--- a/src/baobabthread/routing/exposure.py
+++ b/src/baobabthread/routing/exposure.py
@@ -21,14 +21,14 @@
 MIN_CANARY_FRACTION = 0.15
 """Bounds of the canary share, as fractions of the exposure bound."""
 CANARY_MARGIN = 0.85
-"""Fraction of the budget beyond the final phase that the canary share is sized for."""
+"""Fraction of the budget left over by the final phase that the canary is sized for."""
 MIN_FINAL_PHASE_S = 0.85
 """Minimum duration of the final phase: responses under full load must be observed
 before the old version is stopped."""
 ADMISSION_FACTOR = 1.35
 """Multiple of the canary share up to which further sessions are admitted."""
 OVERDRAFT_FRACTION = 0.6
-"""Fraction of the fixed allowance that canary sessions may use before a rollback."""
+"""Fraction of `exposure_extra` that canary sessions may use before a rollback."""
 OVERDRAFT_RATE_FACTOR = 0.5
 """Fraction of the current request rate that is expected until the time limit."""
 PLANNED_FRACTION = 0.93
@@ -47,7 +47,7 @@
 RATE_WINDOW_S = 4.0
 """Window over which the request rate is measured."""
 BURST_RATE_WINDOW_S = 0.5
-"""Window in which a burst that has just begun is noticed."""
+"""The same, where a burst that has just begun must be noticed."""
 MAX_BURST_SHARE = 0.5
 """Maximum share of the requests without a session that go to the canary in a burst."""
 BURST_INTERVAL_S = 3.0
@@ -60,8 +60,8 @@
 INITIAL_CREDIT = 0.1
 """Fraction of a request that an instance starts with, so that its first may be sent."""
 EXTRA_FRACTION = 0.4
-"""Fraction of the fixed allowance that the final phase may use. Only the leader grants
-it; two instances that both consider themselves leader still stay within the bound."""
+"""Fraction of `exposure_extra` that the final phase may use. Only the leader grants it;
+two instances that both consider themselves leader still stay within the bound."""
 
 
 class Exposure(msgspec.Struct, frozen=True, kw_only=True):
@@ -97,7 +97,7 @@
     """Limits the attempts on a canary version by the requests to its service.
 
     Each instance spends only what its own requests earn, so the sum stays within the
-    bound for any number of instances, whether cut off, isolated or just started.
+    bound for any number of instances, whether partitioned, isolated or just started.
     """
 
     __slots__ = ("_attempts", "_exposed", "_final_limit", "_requests", "_reserved")
--- a/src/baobabthread/routing/models.py
+++ b/src/baobabthread/routing/models.py
@@ -19,8 +19,9 @@
 MIN_MIDDLE_ACCEPT_CONFIDENCE = 0.55
 """Confidence of an intermediate model below which the largest one is asked."""
 LATE_VALUE = 0.4
-"""Value of a good but late response relative to one in time. A response of the smallest
-model at the threshold that results from this is good about as often."""
+"""Value of a good but late response relative to one in time. Responses of the smallest
+model at the acceptance threshold that follows from it are good in about this fraction
+of cases."""
 TIGHT_FRACTION = 0.3
 """Fraction of the latency objective that must be left for a larger model's response to
 count as certainly in time."""
@@ -42,7 +43,7 @@
     """Time left after a larger model's first part, as a fraction of the objective."""
 
     def describe(self) -> str:
-        """Return the arguments against a larger model, for the log."""
+        """Return the cost of the largest model and the spare time, for the log."""
         return f"price {self.cost(self.count - 1):.2f} spare {self.spare:.2f}"
 
     def cost(self, index: int) -> float:
--- a/src/baobabthread/routing/pins.py
+++ b/src/baobabthread/routing/pins.py
@@ -57,14 +57,14 @@
     def _record_old(self, session: str, now: float) -> None:
         self._on_old[session] = now
         if len(self._on_old) > MAX_SESSIONS:
-            self._on_old = self._find_recent(self._on_old, now)
+            self._on_old = self._filter_recent(self._on_old, now)
 
     def record_new(self, session: str, now: float) -> bool:
         """Record a request on the new version; return whether it is the first here."""
         is_first = session not in self._on_new
         self._on_new[session] = now
         if len(self._on_new) > MAX_SESSIONS:
-            self._on_new = self._find_recent(self._on_new, now)
+            self._on_new = self._filter_recent(self._on_new, now)
         return is_first
 
     def is_on_new(self, session: str) -> bool:
@@ -73,7 +73,7 @@
 
     def list_old(self, now: float) -> dict[str, float]:
         """Return the sessions in use on the old version here with their last use."""
-        self._on_old = self._find_recent(self._on_old, now)
+        self._on_old = self._filter_recent(self._on_old, now)
         # A stream may run for longer than the idle time.
         return self._on_old | dict.fromkeys(self._running_old, now)
 
@@ -83,7 +83,7 @@
 
     def list_new(self, now: float) -> list[str]:
         """Return the sessions in use on the new version here."""
-        self._on_new = self._find_recent(self._on_new, now)
+        self._on_new = self._filter_recent(self._on_new, now)
         return list(self._on_new)
 
     @property
@@ -123,7 +123,7 @@
         for session in sessions:
             self._admitted[session] = True
 
-    def _find_recent(self, seen: dict[str, float], now: float) -> dict[str, float]:
+    def _filter_recent(self, seen: dict[str, float], now: float) -> dict[str, float]:
         cutoff = now - self.idle_s
         return {
             session: used_at for session, used_at in seen.items() if used_at > cutoff
--- a/src/baobabthread/routing/queues.py
+++ b/src/baobabthread/routing/queues.py
@@ -19,7 +19,8 @@
 """Maximum relative jitter of retry times, so that callers do not return together."""
 MIN_RETRY_S = 0.1
 MAX_RETRY_S = 5.0
-"""Upper bound of retry times; callers with urgent requests still return within it."""
+"""Upper bound of retry times before jitter, after which callers with urgent requests
+still return."""
 
 
 class Admission(msgspec.Struct, frozen=True, kw_only=True):
--- a/src/baobabthread/routing/readers.py
+++ b/src/baobabthread/routing/readers.py
@@ -14,7 +14,8 @@
 """Members for each reader. Calls to the store are expensive, and with this ratio a
 reader answers a hundred small requests a second, about 1 % of a core."""
 STANDBYS = 2
-"""Members that read the store when a reader does not respond."""
+"""Members that read the store when a reader does not respond, so that the others need
+not."""
 APPLY_FRACTION = 0.75
 """Fraction of the bound on applying a change after which an instance reads the store
 itself. An instance that was partitioned when the change was made has the rest of the
@@ -25,9 +26,9 @@
 """Margin below the revocation bound, which leaves an instance time to read the store
 itself."""
 REQUEST_FRACTION = 0.27
-"""Fraction of the age limit between two requests to a reader. A reader's own age is at
-most two thirds of the limit, which leaves time for a second request if a reply is
-lost."""
+"""Fraction of the age limit between two requests to a reader. Added to a reader's own
+age, at most two thirds of the limit, it leaves time for a request to the next reader if
+a reply is lost."""
 LONG_POLL_FRACTION = 1 / 3
 """Fraction of the age limit for which the store holds a read that finds nothing. The
 age of a reader's state is at most twice this."""
@@ -103,7 +104,7 @@
         return self._me in self.standbys
 
     def choose_reader(self, misses: int) -> str | None:
-        """Return the member to ask after `misses` requests in a row without success."""
+        """Return the member to query after `misses` unsuccessful requests in a row."""
         names = [name for name in self._preference if name != self._me]
         if self.is_standby:
             names = [name for name in names if name in self.readers]
--- a/src/baobabthread/routing/regions.py
+++ b/src/baobabthread/routing/regions.py
@@ -33,7 +33,7 @@
         return sorted(d for d in failure_domains if d not in known) if known else []
 
     def list_unknown_regions(self, configuration: RoutingConfiguration) -> list[str]:
-        """Return allowed regions that don't exist; empty if none are configured."""
+        """Return unknown allowed regions; empty if no regions are configured."""
         known = set(self._by_domain.values())
         named = {
             region
--- a/src/baobabthread/routing/replica.py
+++ b/src/baobabthread/routing/replica.py
@@ -130,7 +130,7 @@
         return has_changed
 
     def record_operators_read(self, *, end: int, requested_at: float) -> None:
-        """Record a read of the operators' log to `end`, sent at `requested_at`."""
+        """Record a read of the operators' log up to `end`, sent at `requested_at`."""
         self._advance_operators_end(end)
         self.freshness.read_head(head=end, started_at=requested_at)
         self.on_update()
@@ -183,7 +183,7 @@
     def record_backends_read(
         self, *, end: int, requested_at: float, now: float
     ) -> None:
-        """Record a read of the backend records to `end`, sent at `requested_at`."""
+        """Record a read of the backend records up to `end`, sent at `requested_at`."""
         if requested_at - self._backends_read_at > STORE_OUTAGE_GAP_S:
             self._grace_until = now + LAPSED_RECORD_GRACE_S
         self.backends_end = max(self.backends_end, end)
@@ -223,8 +223,8 @@
     def apply_backend(self, record: BackendRecord) -> bool:
         """Apply a backend server's record; return whether anything changed."""
         if record.warmup_left_s:
-            # Stored separately: it changes with each heartbeat, which peers don't need
-            # to be told.
+            # Stored separately: it changes with each heartbeat, and peers don't need
+            # each of these changes.
             record = msgspec.structs.replace(record, warmup_left_s=0.0)
         self._lapsed_until.pop(record.id, None)
         old = self.backends.get(record.id)
@@ -240,7 +240,7 @@
         return True
 
     def record_warmup(self, record: BackendRecord, left_s: float, now: float) -> bool:
-        """Record a cold server's warm-up time; return whether peers should be told."""
+        """Record a cold server's warm-up time; return whether to notify peers."""
         current = self.backends.get(record.id)
         if current is None or current.incarnation != record.incarnation:
             return False
@@ -256,7 +256,7 @@
             self._record_backend_change(id)
 
     def remove_backend(self, id: str, now: float) -> None:
-        """Remove a server whose record is gone, after a grace period if in doubt."""
+        """Remove a server without a record, after a grace period if in doubt."""
         if id not in self.backends:
             return
         if now < self._grace_until:
--- a/src/baobabthread/routing/rollouttotals.py
+++ b/src/baobabthread/routing/rollouttotals.py
@@ -10,11 +10,13 @@
 from baobabthread.routing.warmup import SenderCount
 
 ADMIT_WITHOUT_ALL_S = 3.0
-"""Time after which sessions may begin on the new version although some instances do not
-report its servers yet: those would send the sessions to the old version."""
+"""Time since the new version got servers after which sessions may begin on it although
+some instances do not report them yet: those would send the sessions to the old version.
+"""
 MIN_SERVING_FRACTION = 0.9
-"""Fraction of the instances that must be serving for sessions to begin there: instances
-that are cut off may have the sessions in use."""
+"""Fraction of the most instances that served since the order that must be serving for
+sessions to begin on the new version: those that are cut off may have the sessions in
+use."""
 MIN_REPORTING_FRACTION = 0.5
 """Fraction of the instances that must be reporting before a promotion. Otherwise each
 side of a network partition would promote by its own totals."""
--- a/src/baobabthread/routing/snapshots.py
+++ b/src/baobabthread/routing/snapshots.py
@@ -18,7 +18,7 @@
     operators_end: int
     """Offset up to which the operators' log was read."""
     operators_age_s: float
-    """Time since the last read that found nothing newer was sent."""
+    """Seconds since the request of the last read that found nothing newer."""
     configuration: RoutingConfiguration | None
     """None if the requesting peer has read as far."""
     orders: list[RolloutOrder]
--- a/src/baobabthread/routing/starts.py
+++ b/src/baobabthread/routing/starts.py
@@ -5,8 +5,9 @@
 from baobabthread.routing.configuration import BackendRecord
 
 MAX_STARTS = 20_000
-"""Backend servers whose latest start is kept, also after their record is removed: twice
-those of the largest planned deployment and those replaced within a day."""
+"""Number of backend servers whose latest start is kept, also after their record is
+removed: twice the servers of the largest planned deployment and those replaced within
+a day."""
 
 
 class NewestStarts:
--- a/src/baobabthread/routing/stopping.py
+++ b/src/baobabthread/routing/stopping.py
@@ -8,10 +8,10 @@
 
 ACCEPT_S = 6.5
 """Time after the signal in which new connections are still accepted: some callers keep
-addresses three times as long as told."""
+addresses for three times their lifetime."""
 SERVE_ALL_S = 2.5
 """Time after the signal in which requests are accepted by their usual duration. Callers
-get other addresses within the lifetime that they were given."""
+get other addresses within the lifetime of those that they have."""
 SERVE_ALL_FRACTION = 1.0 / 3.0
 """The same, as a fraction of the grace period; the rest is for accepted requests."""
 END_MARGIN_S = 0.4
@@ -26,7 +26,7 @@
 STALL_S = 0.5
 """Time between two ticks, due every tenth of a second, that counts as a stall."""
 SIGNAL_DELAY_S = 0.5
-"""Time after a stall within which a signal that arrived during it may be handled."""
+"""Time after a stall; a signal that is handled within it may have arrived during it."""
 
 
 class StallDetector:
--- a/src/baobabthread/routing/versions.py
+++ b/src/baobabthread/routing/versions.py
@@ -130,7 +130,7 @@
     def is_unproven(self, version: str) -> bool:
         """Return whether a version is a canary or was rolled back.
 
-        Late crash reports blamed on requests would get good ones rejected for minutes.
+        Blamed on requests, late crash reports would get good ones rejected for minutes.
         """
         if version in self.lineage.rolled_back:
             return True
@@ -269,7 +269,7 @@
         return True
 
     def ready_s(self, now: float) -> float:
-        """Return the seconds since the new version first had usable servers."""
+        """Return the seconds for which the new version has had usable servers."""
         return now - self._ready_at if self._ready_at is not None else 0.0
 
     def left_s(self, now: float) -> float:
@@ -325,9 +325,8 @@
     def decide(self, session: str, now: float) -> bool:
         """Return whether a session moves to the new version; called on its owner.
 
-        A single owner decides, so that simultaneous requests get the same version.
-        Before the final phase a session in use stays on the old version, so that it
-        does not change in the middle of a conversation.
+        A single owner decides, so that simultaneous requests get the same version. A
+        session in use stays until idle or the final phase: it may be in a conversation.
         """
         if not self.is_running or self.analysis.alarm is not None:
             return self.state is RolloutState.SUCCEEDED
@@ -355,12 +354,13 @@
         return True
 
     def is_past_half(self, now: float) -> bool:
-        """Return whether sessions in use may move to the new version as well."""
+        """Return whether half of the time limit has passed, plus a margin."""
+        # From then on, candidates without an owner's decision are taken to have moved.
         assert self.order is not None
         return self.left_s(now) < self.order.time_limit_s / 2 - SESSION_MARGIN_S
 
     def list_session_ages(self, now: float) -> dict[str, float]:
-        """Return the canary candidates seen here, with seconds since last use."""
+        """Return the seconds since use of canary candidates on the old version here."""
         if self.order is None:
             return {}
         seen = self.pins.list_old(now).items()
--- a/src/baobabthread/routing/warmup.py
+++ b/src/baobabthread/routing/warmup.py
@@ -24,7 +24,8 @@
 """Length of a window. A request not sent in its window is not made up for: otherwise
 all instances would send their saved requests when a burst comes."""
 OVERRUN_PROBABILITY = 1e-6
-"""Probability that a second exceeds the bound if all instances use every window."""
+"""Probability that the requests in a second exceed the bound if all instances use every
+window."""
 MEMBER_RETENTION_S = 7200.0
 """Time for which a silent member is still counted. Regions are occasionally partitioned
 for an hour, and each side would otherwise use the other side's share as well."""
@@ -152,7 +153,7 @@
 
 @functools.lru_cache
 def compute_window_rate(max_per_s: float) -> float:
-    """Return the windows per second, of all members, that keep a server's bound.
+    """Return the windows per second, of all members, at which a server's bound holds.
 
     A second overlaps the windows that start in it or up to a window's length before.
     """
--- a/tests/routing/test_budget.py
+++ b/tests/routing/test_budget.py
@@ -52,8 +52,8 @@
 TRAFFIC = (
     Traffic("steady", (2.0,)),
     Traffic("bursts", (2.0, 2.0, 2.0, 9.0)),
-    Traffic("silence, then a rush", (0.0, 0.0, 0.0, 0.0, 0.0, 12.0)),
-    Traffic("a rush, then silence", (12.0, 12.0, 12.0, 0.0, 0.0, 0.0, 0.0, 0.0)),
+    Traffic("idle, then a burst", (0.0, 0.0, 0.0, 0.0, 0.0, 12.0)),
+    Traffic("a burst, then idle", (12.0, 12.0, 12.0, 0.0, 0.0, 0.0, 0.0, 0.0)),
 )
 
 
@@ -117,20 +117,20 @@
 
     name: str
     known: int = 1
-    """Most members that it ever saw, including itself; -n for one n-th of all."""
+    """Maximum number of members it saw, including itself; -n for one n-th of all."""
     starts: tuple[float, ...] = ()
     """Times of its restarts, in seconds after a time common to all instances."""
-    frozen_s: float = 0.0
+    stall_s: float = 0.0
     """Length of its stall from that time on, during which its requests wait."""
 
 
 SCENARIOS = (
-    Scenario(name="alone since its start"),
-    Scenario(name="cut off with half of them since its start", known=-2),
-    Scenario(name="cut off later", known=-1),
+    Scenario(name="isolated since its start"),
+    Scenario(name="partitioned with half of them since its start", known=-2),
+    Scenario(name="partitioned later", known=-1),
     Scenario(name="just started", known=-1, starts=(0.0,)),
     Scenario(name="started three times in a window", known=-1, starts=(0.0, 3.0, 6.0)),
-    Scenario(name="frozen", known=-1, frozen_s=6.0),
+    Scenario(name="stalled", known=-1, stall_s=6.0),
 )
 TICK_S = 0.1
 DEMAND_S = 3.0
@@ -142,12 +142,12 @@
 ) -> Outcome:
     """Simulate instances at which all attempts fail and requests need two retries."""
     outcome = Outcome(requests=[], retries=[])
-    common_time = rng.uniform(5.0, 25.0)
+    event_at = rng.uniform(5.0, 25.0)
     for scenario in scenarios:
         if scenario.known < 0:
             known = max(1, len(scenarios) // -scenario.known)
             scenario = msgspec.structs.replace(scenario, known=known)
-        _simulate_scenario(scenario, common_time, rate, bounds, rng, outcome)
+        _simulate_scenario(scenario, event_at, rate, bounds, rng, outcome)
     outcome.requests.sort()
     outcome.retries.sort()
     return outcome
@@ -155,7 +155,7 @@
 
 def _simulate_scenario(
     scenario: Scenario,
-    common_time: float,
+    event_at: float,
     rate: float,
     bounds: RoutingBounds,
     rng: random.Random,
@@ -163,18 +163,18 @@
 ) -> None:
     budget = make_budget(bounds, known=scenario.known)
     arrivals = ArrivalEstimator()
-    starts = [common_time + after for after in scenario.starts]
+    starts = [event_at + after for after in scenario.starts]
     ticked_at = 0.0
     retries_due: list[float] = []
     sent = 0.0
     while sent < RUN_S:
         sent += rng.expovariate(rate)
         read = sent
-        if common_time <= sent < common_time + scenario.frozen_s:
-            read = common_time + scenario.frozen_s
+        if event_at <= sent < event_at + scenario.stall_s:
+            read = event_at + scenario.stall_s
         while ticked_at < read:
             ticked_at += TICK_S
-            if not common_time <= ticked_at < common_time + scenario.frozen_s:
+            if not event_at <= ticked_at < event_at + scenario.stall_s:
                 arrivals.tick(min(ticked_at, read))
         if starts and sent >= starts[0]:
             starts.pop(0)
@@ -198,7 +198,7 @@
     """Instances restart up to three times, or stall, while all attempts fail.
 
     An instance that is partitioned or has just started sees no others. If it divided
-    the fixed part of the budget by the members that it sees, it would take all of it.
+    the fixed allowance by the members that it sees, it would take all of it.
     """
     bounds = msgspec.structs.replace(BOUNDS, retry_extra=45.0 + 2.0 * count)
     for seed in range(5):
@@ -248,7 +248,7 @@
 
 
 def test_spent_retries_count_across_membership_changes() -> None:
-    """An instance is lost, and the fixed part is redistributed among the rest.
+    """An instance is lost, and the fixed allowance is redistributed among the rest.
 
     A reset balance would grant all retries again at each change of the membership.
     """
@@ -283,7 +283,7 @@
     return sum(budget.try_spend(now) for _ in range(500))
 
 
-def test_fixed_part_is_used_only_once_members_are_known() -> None:
+def test_fixed_allowance_is_used_only_once_members_are_known() -> None:
     """An instance sees only itself after a start, and again when it is partitioned."""
     members = MemberCount(is_single=False, settled_at=10.0)
     assert count_fixed(members, 50.0) == 0
--- a/tests/routing/test_canary.py
+++ b/tests/routing/test_canary.py
@@ -33,7 +33,7 @@
     return count + 1
 
 
-def send(analysis: CanaryAnalysis, *, is_canary: bool, at: float) -> int:
+def start_attempt(analysis: CanaryAnalysis, *, is_canary: bool, at: float) -> int:
     return analysis.start_attempt(
         SentAttempt(is_canary=is_canary, call="c", kind="c", at=at, expected_s=0.1)
     )
@@ -44,7 +44,7 @@
     analysis = CanaryAnalysis(number=1)
     for _ in range(60):
         analysis.finish_attempt(
-            send(analysis, is_canary=False, at=0.0), failed=False, now=0.2
+            start_attempt(analysis, is_canary=False, at=0.0), failed=False, now=0.2
         )
     return analysis
 
@@ -136,7 +136,7 @@
     Only its fast responses would be known by then.
     """
     analysis = make_analysis()
-    tickets = [send(analysis, is_canary=True, at=10.0) for _ in range(4)]
+    tickets = [start_attempt(analysis, is_canary=True, at=10.0) for _ in range(4)]
     analysis.count_overdue(10.3)
     assert "new_latency" not in analysis.describe()
     analysis.count_overdue(10.6)
@@ -149,14 +149,14 @@
 
 def test_cancelled_attempts_are_not_counted() -> None:
     analysis = make_analysis()
-    analysis.cancel_attempt(send(analysis, is_canary=True, at=10.0))
+    analysis.cancel_attempt(start_attempt(analysis, is_canary=True, at=10.0))
     analysis.finish_attempt(
-        send(analysis, is_canary=True, at=10.0), failed=None, now=10.1
+        start_attempt(analysis, is_canary=True, at=10.0), failed=None, now=10.1
     )
     analysis.count_overdue(20.0)
     assert "new" not in analysis.describe()
     analysis.finish_attempt(
-        send(analysis, is_canary=True, at=20.0), failed=None, now=21.0
+        start_attempt(analysis, is_canary=True, at=20.0), failed=None, now=21.0
     )
     assert "new_latency:1/1" in analysis.describe()
 
@@ -202,13 +202,13 @@
     plan = VersionPlan(service="s", bounds=BOUNDS)
     for _ in range(8):
         plan.analysis.finish_attempt(
-            send(plan.analysis, is_canary=False, at=0.0), failed=False, now=0.2
+            start_attempt(plan.analysis, is_canary=False, at=0.0), failed=False, now=0.2
         )
     order = RolloutOrder(number=1, service="s", target="v2", time_limit_s=LIMIT_S)
     plan.apply_order(order, 1.0)
     for _ in range(3):
         plan.analysis.finish_attempt(
-            send(plan.analysis, is_canary=True, at=2.0), failed=False, now=2.9
+            start_attempt(plan.analysis, is_canary=True, at=2.0), failed=False, now=2.9
         )
     assert "new_latency:3/3" in plan.analysis.describe()
     assert "old" not in plan.analysis.describe()
--- a/tests/routing/test_crashes.py
+++ b/tests/routing/test_crashes.py
@@ -50,7 +50,7 @@
     )
 
 
-def find(crashes: list[Crash], **more: object) -> list[str]:
+def suspected(crashes: list[Crash], **more: object) -> list[str]:
     """Return the fingerprints of the suspects once all crashes have settled."""
     analysis = CrashAnalysis()
     for crash in crashes:
@@ -58,48 +58,48 @@
     return [s.fingerprint for s in find_suspects(analysis, **more)]  # type: ignore[arg-type]
 
 
-def test_suspect_the_request_that_was_at_all_crashes() -> None:
+def test_suspect_the_request_present_at_all_crashes() -> None:
     crashes = [make_crash("e1", "bad", "a"), make_crash("e2", "bad", "a", "b")]
-    assert find(crashes) == []
-    assert find([*crashes, make_crash("e3", "bad", "b")]) == ["bad"]
+    assert suspected(crashes) == []
+    assert suspected([*crashes, make_crash("e3", "bad", "b")]) == ["bad"]
 
 
-def test_wait_for_the_next_crash_if_two_were_at_all() -> None:
+def test_wait_for_the_next_crash_if_two_were_present_at_all() -> None:
     """A good request is retried next to the bad one, three times in a row.
 
-    They can't be told apart until the bad one is sent again without the good one.
+    They are distinguished once the bad one is sent again without the good one.
     """
     crashes = [make_crash(f"e{n}", "bad", "good") for n in range(MIN_CRASHES)]
-    assert find(crashes) == []
-    assert find([*crashes, make_crash("e9", "bad", "other")]) == ["bad"]
+    assert suspected(crashes) == []
+    assert suspected([*crashes, make_crash("e9", "bad", "other")]) == ["bad"]
 
 
-def test_suspect_both_if_they_always_crash_together() -> None:
+def test_suspect_one_of_two_requests_present_at_many_crashes() -> None:
     crashes = [
         make_crash(f"e{n}", "bad", "worse") for n in range(MIN_CRASHES_IF_AMBIGUOUS)
     ]
-    assert len(find(crashes)) == 1
-    assert find(crashes, quarantined=frozenset({"bad"})) == []
+    assert len(suspected(crashes)) == 1
+    assert suspected(crashes, quarantined=frozenset({"bad"})) == []
 
 
 def test_no_suspect_for_crashes_that_are_explained() -> None:
     crashes = [make_crash(f"e{n}", "bad", "good") for n in range(MIN_CRASHES)]
-    assert find(crashes, quarantined=frozenset({"bad"})) == []
+    assert suspected(crashes, quarantined=frozenset({"bad"})) == []
 
 
 def test_no_suspect_for_unrelated_crashes() -> None:
     crashes = [make_crash(f"e{n}", f"a{n}", f"b{n}", f"a{n + 1}") for n in range(20)]
-    assert find(crashes) == []
+    assert suspected(crashes) == []
 
 
 def test_crash_reported_by_several_instances_counts_once() -> None:
-    assert find([make_crash("e1", "bad"), make_crash("e1", "bad")] * 3) == []
+    assert suspected([make_crash("e1", "bad"), make_crash("e1", "bad")] * 3) == []
 
 
 def test_wait_for_the_reports_of_all_instances() -> None:
     """The instance that sent a good request is the first to report the third crash.
 
-    Analyzed at once, the good request would be the only one that was at all of them.
+    Analyzed at once, the good request would be the only one present at all of them.
     """
     analysis = CrashAnalysis()
     for name in ("e1", "e2"):
@@ -119,9 +119,9 @@
         make_crash("e2", "bad", older=["long"]),
         make_crash("e3", "bad", older=["long"]),
     ]
-    assert find(crashes) == ["bad"]
+    assert suspected(crashes) == ["bad"]
     crashes = [make_crash(f"e{n}", older=["long"]) for n in range(3)]
-    assert find(crashes) == ["long"]
+    assert suspected(crashes) == ["long"]
 
 
 def test_answered_request_is_no_suspect() -> None:
@@ -133,7 +133,7 @@
 
 
 def test_blame_a_version_that_crashes_under_all_requests() -> None:
-    """A new version crashes under any request, and each request is at three crashes.
+    """A new version crashes three times under each of several requests.
 
     No request is to blame. Quarantined, all of them would be rejected long after the
     version was rolled back.
@@ -142,7 +142,7 @@
         make_crash(f"e{n}", f"good{n // 3}", version="v2", is_proven=False)
         for n in range(9)
     ]
-    assert find(crashes) == []
+    assert suspected(crashes) == []
 
 
 def test_suspect_is_bound_to_a_version_that_never_answered() -> None:
@@ -159,13 +159,13 @@
 
 def test_no_suspect_for_crashes_of_a_canary_alone() -> None:
     crashes = [make_crash(f"e{n}", "some", version="v2") for n in range(4)]
-    assert find(crashes, canary="v2") == []
-    assert find([*crashes, make_crash("e9", "some")], canary="v2") == ["some"]
+    assert suspected(crashes, canary="v2") == []
+    assert suspected([*crashes, make_crash("e9", "some")], canary="v2") == ["some"]
 
 
 def test_one_crash_suffices_after_an_earlier_quarantine() -> None:
     crashes = [make_crash("e1", "bad", "good")]
-    assert find(crashes, previously_quarantined=frozenset({"bad"})) == ["bad"]
+    assert suspected(crashes, previously_quarantined=frozenset({"bad"})) == ["bad"]
 
 
 def test_old_crashes_are_dropped() -> None:
@@ -196,8 +196,8 @@
     """One bad request is sent repeatedly among good ones, each attempted a few times.
 
     For any number of servers and of good requests on them, no good request is
-    quarantined, as it is answered or given up, and the bad one is after at most six
-    crashes.
+    quarantined, as it is answered or given up, and the bad one is quarantined after at
+    most six crashes.
     """
     rng = random.Random(seed)
     analysis = CrashAnalysis()
--- a/tests/routing/test_deltas.py
+++ b/tests/routing/test_deltas.py
@@ -126,7 +126,9 @@
     return StateReplica(bounds=RoutingBounds())
 
 
-def configure(version: int, *keys: str, routes: int = 0) -> RoutingConfiguration:
+def make_configuration(
+    version: int, *keys: str, routes: int = 0
+) -> RoutingConfiguration:
     return RoutingConfiguration(
         version=version,
         routes=tuple(make_route(f"r{n}", 1.0, "s") for n in range(routes)),
@@ -135,7 +137,7 @@
     )
 
 
-def read(replica: StateReplica, end: int, *records: object) -> None:
+def read_from_store(replica: StateReplica, end: int, *records: object) -> None:
     """Let an instance read new records from the store."""
     for record in records:
         match record:
@@ -152,11 +154,11 @@
     """A reader reads keys, an order and an evacuation, and brings a peer up to date."""
     reader, other = make_replica(), make_replica()
     for replica in (reader, other):
-        read(replica, 1, configure(1, "k1", "k2"))
+        read_from_store(replica, 1, make_configuration(1, "k1", "k2"))
     order = RolloutOrder(number=2, service="s", target="v2", time_limit_s=9.0)
     evacuation = Evacuation(number=3, failure_domain="a", is_on=True)
-    read(reader, 2, configure(2, "k1"))
-    read(reader, 4, order, evacuation)
+    read_from_store(reader, 2, make_configuration(2, "k1"))
+    read_from_store(reader, 4, order, evacuation)
     deltas = reader.deltas.list_since(other.operators_end)
     assert [(delta.since, delta.end) for delta in deltas] == [(1, 2), (2, 4)]
     other.apply_deltas(deltas)
@@ -177,9 +179,9 @@
     """
     reader, other = make_replica(), make_replica()
     for replica in (reader, other):
-        read(replica, 1, configure(1, "k1", "k2"))
-    read(reader, 2, configure(2, "k1"))
-    read(reader, 3, Evacuation(number=2, failure_domain="a", is_on=True))
+        read_from_store(replica, 1, make_configuration(1, "k1", "k2"))
+    read_from_store(reader, 2, make_configuration(2, "k1"))
+    read_from_store(reader, 3, Evacuation(number=2, failure_domain="a", is_on=True))
     other.apply_deltas(reader.deltas.list_since(2))
     assert other.operators_end == other.freshness.folded == 1
     other.apply_deltas(reader.deltas.list_since(1))
@@ -190,9 +192,9 @@
 
 def test_no_delta_is_applied_before_the_first_configuration() -> None:
     reader, other = make_replica(), make_replica()
-    read(reader, 1, configure(1, "k1"))
+    read_from_store(reader, 1, make_configuration(1, "k1"))
     assert reader.deltas.list_since(0) == []
-    read(reader, 2, configure(2, "k1", "k2"))
+    read_from_store(reader, 2, make_configuration(2, "k1", "k2"))
     other.apply_deltas(reader.deltas.list_since(1))
     assert other.table is None
     assert other.operators_end == 0
@@ -201,10 +203,14 @@
 def test_large_delta_is_not_kept() -> None:
     """Hundreds of routes are added at once; each instance reads them from the store."""
     reader = make_replica()
-    read(reader, 1, configure(1, "k1"))
-    read(reader, 2, configure(2, "k1", routes=MAX_DELTA_BYTES // 50))
+    read_from_store(reader, 1, make_configuration(1, "k1"))
+    read_from_store(
+        reader, 2, make_configuration(2, "k1", routes=MAX_DELTA_BYTES // 50)
+    )
     assert reader.deltas.list_since(1) == []
-    read(reader, 3, configure(3, "k2", routes=MAX_DELTA_BYTES // 50))
+    read_from_store(
+        reader, 3, make_configuration(3, "k2", routes=MAX_DELTA_BYTES // 50)
+    )
     assert reader.deltas.list_since(1) == []
     assert [delta.end for delta in reader.deltas.list_since(2)] == [3]
 
@@ -216,10 +222,10 @@
     """
     reader = make_replica()
     routes = MAX_DELTA_BYTES // 600
-    read(reader, 1, configure(1, "k1"))
+    read_from_store(reader, 1, make_configuration(1, "k1"))
     for number in range(2, 8):
-        added = configure(number, "k1", routes=routes * (number % 2))
-        read(reader, number, added)
+        added = make_configuration(number, "k1", routes=routes * (number % 2))
+        read_from_store(reader, number, added)
     assert len(reader.deltas.list_since(5)) == 2
     assert reader.deltas.list_since(1) == []
 
@@ -227,6 +233,6 @@
 def test_keep_only_the_last_deltas() -> None:
     reader = make_replica()
     for number in range(1, MAX_DELTAS + 5):
-        read(reader, number, configure(number, f"k{number}"))
+        read_from_store(reader, number, make_configuration(number, f"k{number}"))
     assert reader.deltas.list_since(1) == []
     assert len(reader.deltas.list_since(4)) == MAX_DELTAS
--- a/tests/routing/test_directory.py
+++ b/tests/routing/test_directory.py
@@ -55,8 +55,8 @@
     """All instances restart at once.
 
     Each one knows most others from their first messages, sent before they had a
-    configuration, and hears from a few per second directly. Callers that were sent only
-    to those few would overload them.
+    configuration, and receives messages directly from only a few per second. Callers
+    that were sent only to those few would overload them.
     """
     members = [make_member(f"a{n}", "a") for n in range(5)]
     assert all(member.generation == 0 for member in members)
--- a/tests/routing/test_evaluation.py
+++ b/tests/routing/test_evaluation.py
@@ -26,14 +26,16 @@
 """Time from which a promoted version succeeds even if old requests still run."""
 
 
-FEW = Exposure(requests=2000, exposed=100)
+FEW_EXPOSED = Exposure(requests=2000, exposed=100)
 
 
 def make_totals(*, per_s: float = 90.0) -> ExposureTotals:
     totals = ExposureTotals(bounds=BOUNDS)
-    earlier = msgspec.structs.replace(FEW, requests=FEW.requests - int(per_s))
+    earlier = msgspec.structs.replace(
+        FEW_EXPOSED, requests=FEW_EXPOSED.requests - int(per_s)
+    )
     totals.record([earlier], 9.0)
-    totals.record([FEW], 10.0)
+    totals.record([FEW_EXPOSED], 10.0)
     return totals
 
 
@@ -108,7 +110,7 @@
     """
     plan = begin_rollout()
     observe_responses(plan)
-    left_s = (0.2 * FEW.requests - FEW.exposed) / 90.0
+    left_s = (0.2 * FEW_EXPOSED.requests - FEW_EXPOSED.exposed) / 90.0
     assert not may_promote(plan, 13.0)
     assert not may_promote(plan, LIMIT_S - left_s)
     assert may_promote(plan, LIMIT_S - 0.5 * left_s)
--- a/tests/routing/test_exposure.py
+++ b/tests/routing/test_exposure.py
@@ -99,7 +99,10 @@
 
 
 def test_totals_include_those_known_to_other_instances() -> None:
-    """A new leader's own totals lacked half of the requests in the final phase."""
+    """A new leader lacks the reports of half of the requests in the final phase.
+
+    By its own totals alone, it would promote a version whose budget is used up.
+    """
     totals = ExposureTotals(bounds=BOUNDS)
     known = Exposure(requests=3000, exposed=460, attempts=4000)
     totals.record([Exposure(requests=1600, exposed=170, attempts=2100)], 10.0)
@@ -155,7 +158,7 @@
 
 
 def test_no_completion_while_a_burst_begins() -> None:
-    """The load exceeds the usual in the last second of a roll-out.
+    """The load rises above its usual level in the last second of a roll-out.
 
     With the old version stopped, all of it would reach the new one.
     """
--- a/tests/routing/test_pins.py
+++ b/tests/routing/test_pins.py
@@ -20,7 +20,7 @@
 
 
 def test_admission_is_revoked_only_without_a_request_on_the_new_version() -> None:
-    """A lost reply of an owner moved a session back that ran on the new version."""
+    """A lost reply of an owner must not move back a session that ran on the new one."""
     pins = make_pins()
     for session in ("lost", "ran"):
         pins.admit(session)
--- a/tests/routing/test_queues.py
+++ b/tests/routing/test_queues.py
@@ -2,7 +2,7 @@
 
 The load pattern is a burst at 1.5 to 3 times the usual rate, with one client account at
 7.5 times its usual, while the backend servers run at capacity. Bursts and accounts of
-this size occur in installations.
+this size occur in deployments.
 """
 
 from __future__ import annotations
--- a/tests/routing/test_replica.py
+++ b/tests/routing/test_replica.py
@@ -20,11 +20,11 @@
     return StateReplica(bounds=BOUNDS)
 
 
-def configure(version: int) -> RoutingConfiguration:
+def make_configuration(version: int) -> RoutingConfiguration:
     return RoutingConfiguration(version=version, routes=(), services=())
 
 
-def backend(id: str, *, leaving: bool = False) -> BackendRecord:
+def make_backend(id: str, *, leaving: bool = False) -> BackendRecord:
     return BackendRecord(
         id=id,
         service="s",
@@ -42,9 +42,9 @@
     Applied, it would restore a key that was revoked.
     """
     replica = make_replica()
-    assert replica.apply_configuration(configure(5))
-    assert not replica.apply_configuration(configure(4))
-    assert not replica.apply_configuration(configure(5))
+    assert replica.apply_configuration(make_configuration(5))
+    assert not replica.apply_configuration(make_configuration(4))
+    assert not replica.apply_configuration(make_configuration(5))
     assert replica.table is not None
     assert replica.table.configuration.version == 5
 
@@ -68,7 +68,7 @@
     replica.freshness.hear(head_age_s=0.5, read_offset=2, asked_at=10.0)
     assert replica.operators_age(10.0) == 10.0
     peer = make_replica()
-    peer.apply_configuration(configure(7))
+    peer.apply_configuration(make_configuration(7))
     peer.record_operators_read(end=2, requested_at=9.0)
     replica.merge(peer.snapshot(10.0, known_end=1), requested_at=10.0, now=10.1)
     assert replica.operators_age(10.0) == 0.5
@@ -78,7 +78,7 @@
 
 def test_snapshot_omits_configuration_that_the_peer_has() -> None:
     peer = make_replica()
-    peer.apply_configuration(configure(7))
+    peer.apply_configuration(make_configuration(7))
     peer.record_operators_read(end=2, requested_at=9.0)
     assert peer.snapshot(10.0, known_end=2).configuration is None
     replica = make_replica()
@@ -89,9 +89,9 @@
 
 def test_leaving_backend_server_stays_leaving() -> None:
     replica = make_replica()
-    replica.apply_backend(backend("b1"))
-    assert replica.apply_backend(backend("b1", leaving=True))
-    assert not replica.apply_backend(backend("b1"))
+    replica.apply_backend(make_backend("b1"))
+    assert replica.apply_backend(make_backend("b1", leaving=True))
+    assert not replica.apply_backend(make_backend("b1"))
     assert replica.backends["b1"].leaving
 
 
@@ -99,7 +99,7 @@
     replica = make_replica()
     for read_at in (0.0, 1.0, 2.0, 3.0, 4.0):
         replica.record_backends_read(end=1, requested_at=read_at, now=read_at)
-    replica.apply_backend(backend("b1"))
+    replica.apply_backend(make_backend("b1"))
     replica.remove_backend("b1", 4.1)
     assert not replica.backends
 
@@ -111,14 +111,14 @@
     requests; servers that have not reappeared by then are removed.
     """
     replica = make_replica()
-    replica.apply_backend(backend("b1"))
-    replica.apply_backend(backend("b2"))
+    replica.apply_backend(make_backend("b1"))
+    replica.apply_backend(make_backend("b2"))
     replica.record_backends_read(end=1, requested_at=0.0, now=0.0)
     replica.record_backends_read(end=4, requested_at=10.0, now=10.0)
     replica.remove_backend("b1", 10.0)
     replica.remove_backend("b2", 10.0)
     assert set(replica.backends) == {"b1", "b2"}
-    replica.apply_backend(backend("b2"))
+    replica.apply_backend(make_backend("b2"))
     replica.expire_lapsed(10.0 + LAPSED_RECORD_GRACE_S + 0.1)
     assert set(replica.backends) == {"b2"}
 
@@ -127,9 +127,9 @@
     replica = make_replica()
     for read_at in (0.0, 1.0, 2.0, 3.0, 4.0):
         replica.record_backends_read(end=9, requested_at=read_at, now=read_at)
-    replica.apply_backend(backend("b1"))
+    replica.apply_backend(make_backend("b1"))
     peer = make_replica()
-    peer.apply_backend(backend("b2"))
+    peer.apply_backend(make_backend("b2"))
     peer.record_backends_read(end=8, requested_at=3.0, now=3.0)
     replica.merge(peer.snapshot(4.0), requested_at=4.0, now=4.0)
     assert set(replica.backends) == {"b1"}
@@ -148,8 +148,8 @@
     assert replica.orders["s"].target == "v2"
 
 
-def start(started_ms: int, *, leaving: bool = False) -> BackendRecord:
-    record = backend("s1", leaving=leaving)
+def make_start(started_ms: int, *, leaving: bool = False) -> BackendRecord:
+    record = make_backend("s1", leaving=leaving)
     return msgspec.structs.replace(
         record, started_ms=started_ms, address=f"127.0.0.1:{started_ms}"
     )
@@ -161,9 +161,9 @@
     The new start inherits nothing from the old one, in particular not that it leaves.
     """
     replica = make_replica()
-    replica.apply_backend(start(1, leaving=True))
-    assert not replica.apply_backend(start(1))
-    assert replica.apply_backend(start(2))
+    replica.apply_backend(make_start(1, leaving=True))
+    assert not replica.apply_backend(make_start(1))
+    assert replica.apply_backend(make_start(2))
     assert not replica.backends["s1"].leaving
 
 
@@ -171,25 +171,26 @@
     """A late record, or a peer that is behind, names an earlier start of a server.
 
     Requests would go to an address that another server may use by now. The newest start
-    is remembered while its record is gone, and also over records without a start time.
+    is remembered after its record is removed, and takes precedence over records without
+    a start time.
     """
     replica = make_replica()
-    replica.apply_backend(start(2))
-    assert not replica.apply_backend(start(1))
-    replica.replace_backends([start(1, leaving=True)], 10.0)
-    assert replica.backends["s1"] == start(2)
+    replica.apply_backend(make_start(2))
+    assert not replica.apply_backend(make_start(1))
+    replica.replace_backends([make_start(1, leaving=True)], 10.0)
+    assert replica.backends["s1"] == make_start(2)
     replica.remove_backend("s1", 10.0)
-    assert not replica.apply_backend(start(1))
-    assert not replica.apply_backend(backend("s1"))
+    assert not replica.apply_backend(make_start(1))
+    assert not replica.apply_backend(make_backend("s1"))
     assert not replica.backends
-    assert replica.apply_backend(start(2))
+    assert replica.apply_backend(make_start(2))
 
 
 def test_remembered_starts_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("baobabthread.routing.starts.MAX_STARTS", 2)
     replica = make_replica()
     for number in range(4):
-        record = msgspec.structs.replace(start(5), id=f"s{number}")
+        record = msgspec.structs.replace(make_start(5), id=f"s{number}")
         replica.apply_backend(record)
-    assert not replica.apply_backend(msgspec.structs.replace(start(4), id="s3"))
-    assert replica.apply_backend(msgspec.structs.replace(start(4), id="s0"))
+    assert not replica.apply_backend(msgspec.structs.replace(make_start(4), id="s3"))
+    assert replica.apply_backend(msgspec.structs.replace(make_start(4), id="s0"))
--- a/tests/routing/test_rollouttotals.py
+++ b/tests/routing/test_rollouttotals.py
@@ -10,7 +10,9 @@
 NAMES = [f"i{number}" for number in range(20)]
 
 
-def report(totals: RolloutTotals, count: int, now: float, *, exposed: int = 0) -> None:
+def apply_reports(
+    totals: RolloutTotals, count: int, now: float, *, exposed: int = 0
+) -> None:
     exposure = Exposure(requests=100, exposed=exposed, attempts=100)
     totals.update(begin_rollout(), [(make_progress(), exposure)] * count, now)
 
@@ -35,11 +37,11 @@
 def test_no_admission_before_all_instances_know_the_order() -> None:
     """An instance without the order sends moved sessions to the old version."""
     totals, plan = make_totals(), begin_rollout(ready_at=1.0)
-    report(totals, 18, 1.0)
+    apply_reports(totals, 18, 1.0)
     assert not totals.may_admit(plan, 1.0)
-    report(totals, 19, 1.1)
+    apply_reports(totals, 19, 1.1)
     assert totals.may_admit(plan, 1.1)
-    report(totals, 18, 1.2)
+    apply_reports(totals, 18, 1.2)
     assert not totals.may_admit(plan, 1.2)
     assert totals.may_admit(plan, 1.0 + ADMIT_WITHOUT_ALL_S)
 
@@ -56,20 +58,20 @@
 def test_no_admission_while_many_instances_are_cut_off() -> None:
     """They may have sessions in use that would look new to the others."""
     totals, plan = make_totals(), begin_rollout()
-    report(totals, 19, 1.0)
+    apply_reports(totals, 19, 1.0)
     totals.update_members(NAMES[:17], 5.0)
-    report(totals, 19, 5.0)
+    apply_reports(totals, 19, 5.0)
     assert not totals.may_admit(plan, 5.0)
     totals.update_members(NAMES[:19], 6.0)
-    report(totals, 19, 6.0)
+    apply_reports(totals, 19, 6.0)
     assert totals.may_admit(plan, 6.0)
 
 
 def test_no_admission_beyond_the_planned_exposure() -> None:
     totals, plan = make_totals(), begin_rollout()
-    report(totals, 19, 5.0, exposed=1)
+    apply_reports(totals, 19, 5.0, exposed=1)
     assert totals.may_admit(plan, 5.0)
-    report(totals, 19, 6.0, exposed=30)
+    apply_reports(totals, 19, 6.0, exposed=30)
     assert not totals.may_admit(plan, 6.0)
 
 
@@ -77,18 +79,18 @@
     """Isolated instances would each promote the version by their own totals."""
     totals, plan = make_totals(), begin_rollout()
     totals.update_members(NAMES, 2.0)
-    report(totals, 8, 20.0)
+    apply_reports(totals, 8, 20.0)
     assert not totals.has_quorum(plan, 20.0)
-    report(totals, 9, 20.0)
+    apply_reports(totals, 9, 20.0)
     assert totals.has_quorum(plan, 20.0)
     totals.update_members(NAMES[:1], 20.5)
-    report(totals, 0, 20.5)
+    apply_reports(totals, 0, 20.5)
     assert not totals.has_quorum(plan, 20.5)
 
 
 def test_final_budget_is_divided_among_the_instances() -> None:
     totals, plan = make_totals(), begin_rollout()
-    report(totals, 19, 20.0)
+    apply_reports(totals, 19, 20.0)
     quota = totals.find_final_quota(plan, 23.0)
     assert quota > 0.0
     expected = totals.find(plan).find_final_budget(elapsed_s=23.0, left_s=1.0)
--- a/tests/routing/test_versions.py
+++ b/tests/routing/test_versions.py
@@ -258,7 +258,10 @@
 
 
 def test_verdict_completes_a_rollout() -> None:
-    """Gossip takes seconds to reach two hundred instances; old servers stop at once."""
+    """Old servers stop at once, but gossip to two hundred instances takes seconds.
+
+    The verdict therefore carries the outcome.
+    """
     plan = begin_rollout()
     report = Progress(
         service="s",
