--- a/src/baobabthread/instance/admission.py
+++ b/src/baobabthread/instance/admission.py
@@ -26,8 +26,9 @@
 from baobabthread.routing.table import RoutingTable
 
 START_TIMEOUT_S = 1.0
-"""Time that requests wait until a new instance has read the configuration: reading the
-store takes a few hundredths of a second, fetching from a peer half a second."""
+"""Longest time that requests wait until a new instance has read the configuration:
+reading the store takes a few hundredths of a second, fetching from a peer half a
+second."""
 LOW_RETRY_BALANCE = 2.0
 """Remaining retries below which the first response must be good enough, as none may
 follow."""
@@ -87,10 +88,11 @@
         self._stop_plan = plan
 
     async def wait_ready(self) -> None:
-        """Wait until configuration and backend servers are known, up to a time-out.
+        """Wait until configuration and backend servers are known, up to a timeout.
 
-        After a loss of all instances, the first one to return meets all callers within
-        a tenth of a second. Rejected, they have no other instance to try.
+        After a loss of all instances, the first one to return gets requests from all
+        callers within a tenth of a second. If it rejected them, they would have no
+        other instance to try.
         """
         if self._ready.is_set():
             return
--- a/src/baobabthread/instance/attempts.py
+++ b/src/baobabthread/instance/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt at one backend server: sending, validation and time-outs."""
+"""One attempt at one backend server: sending, validation and timeouts."""
 
 from __future__ import annotations
 
@@ -221,7 +221,8 @@
         """Wait for a part of the response until the deadline.
 
         If the request may be retried, the attempt is abandoned when the backend server
-        has been silent on all connections for a while: it is unreachable, not slow.
+        has been silent on all connections for a while, as it is then unreachable rather
+        than slow, or when only this response appears to be lost.
         """
         task = asyncio.ensure_future(operation)
         try:
@@ -241,7 +242,7 @@
                 task.cancel()
 
     def _find_silence(self, started_at: float) -> str | None:
-        """Return why the response is unlikely to arrive, or None."""
+        """Return why the response is unlikely to arrive; None if it is expected."""
         timestamp = now()
         if timestamp - max(started_at, self.link.received_at) >= self.silence_timeout_s:
             self.link.mark_suspect()
--- a/src/baobabthread/instance/backends.py
+++ b/src/baobabthread/instance/backends.py
@@ -32,7 +32,7 @@
 from baobabthread.routing.replica import StateReplica
 
 CONNECT_TIMEOUT_S = 0.4
-"""Time-out for opening a connection, which usually takes a few milliseconds. A lost
+"""Timeout for opening a connection, which usually takes a few milliseconds. A lost
 first packet is retransmitted only after a second; another backend server is tried
 before that."""
 OVERTAKING_RESPONSES = 4
@@ -83,7 +83,7 @@
 
     @property
     def name(self) -> str:
-        """The incarnation: one start of the server."""
+        """Incarnation of the server, which identifies one start of it."""
         return self.record.incarnation
 
     def mark_suspect(self) -> None:
@@ -117,7 +117,7 @@
 class Backends:
     """Choose among the known backend servers and hold their connections."""
 
-    __slots__ = ("_applied_changes", "_links", "_replica", "_restrictions", "table")
+    __slots__ = ("_applied_revision", "_links", "_replica", "_restrictions", "table")
 
     def __init__(
         self,
@@ -130,7 +130,7 @@
         self._replica = replica
         self._restrictions = restrictions
         self._links: dict[str, BackendLink] = {}
-        self._applied_changes = -1
+        self._applied_revision = -1
         self.table = BackendTable(
             failure_domain=failure_domain,
             rng=rng,
@@ -141,9 +141,9 @@
         """Apply changes of the records to links and balancer."""
         for name in self._restrictions.drop_warm(now()):
             self.table.begin_slowly(name, now())
-        if self._applied_changes == self._replica.revision:
+        if self._applied_revision == self._replica.revision:
             return
-        self._applied_changes = self._replica.revision
+        self._applied_revision = self._replica.revision
         self._restrictions.refresh(now())
         # Keyed by incarnation: connections, load, delays and ejection do not carry over
         # to a restarted server.
@@ -165,8 +165,8 @@
     def _record_cold(self, record: BackendRecord, left_s: float) -> None:
         if self._replica.record_warmup(record, left_s, now()):
             log_event("backend_cold", backend=record.id, left_s=round(left_s, 3))
-            # Without a refresh it would get all requests until the next tick. Those of
-            # a tenth of a second are more than a cold server can take in a whole one.
+            # Without a refresh the server would get all requests until the next tick, a
+            # tenth of a second later: more than a cold server can run in a second.
             self.refresh()
 
     def _is_warm(self, record: BackendRecord) -> bool:
--- a/src/baobabthread/instance/callers.py
+++ b/src/baobabthread/instance/callers.py
@@ -20,7 +20,7 @@
 
 MAX_FIELD_BYTES = 65_536
 KEEP_ALIVE_TIMEOUT_S = 75.0
-"""Idle time-out of callers' connections. It is longer than any time-out that operators
+"""Idle timeout of callers' connections. It is longer than any timeout that operators
 configure for callers, so that always the caller closes the connection."""
 LINGER_TIMEOUT_S = 1.0
 
--- a/src/baobabthread/instance/canaries.py
+++ b/src/baobabthread/instance/canaries.py
@@ -65,7 +65,10 @@
 
 
 class CanaryPermit(msgspec.Struct, frozen=True, kw_only=True, tag="trial.permit"):
-    """Permit an instance to continue with a canary after its report was received."""
+    """Permit an instance to continue with a canary, in reply to its report.
+
+    If the roll-out has ended, the progress states its final state instead.
+    """
 
     progress: Progress
     sent_at: float
@@ -263,7 +266,10 @@
         by_origin[report.origin] = report
 
     def publish_verdict(self, progress: Progress) -> None:
-        """Send this leader's conclusions to all instances, unless already sent."""
+        """Send this leader's conclusions to all instances.
+
+        Nothing is sent if they are unchanged, or before there is any conclusion.
+        """
         previous = self._verdicts.get(progress.service)
         if previous is not None and _is_equivalent(previous.progress, progress):
             return
--- a/src/baobabthread/instance/connections.py
+++ b/src/baobabthread/instance/connections.py
@@ -25,11 +25,11 @@
 READ_BUFFER_BYTES = 65_536
 """Response bytes buffered in memory before back-pressure is applied to the sender."""
 IDLE_TIMEOUT_S = 30.0
-"""Idle time-out of connections to servers that state none."""
+"""Idle timeout of connections to servers that state none."""
 PROBE_IDLE_TIMEOUT_S = 1.0
-"""Idle time-out of a connection that was opened by a probe."""
+"""Idle timeout of a connection that was opened by a probe."""
 IDLE_MARGIN_S = 0.75
-"""Margin before the server's idle time-out at which a connection is no longer used: a
+"""Margin before the server's idle timeout at which a connection is no longer used: a
 request that is sent while the server closes it may or may not have run."""
 _KEEP_ALIVE = re.compile(r"timeout=(\d+)")
 
--- a/src/baobabthread/instance/context.py
+++ b/src/baobabthread/instance/context.py
@@ -73,9 +73,9 @@
 
     until_end_ms: int
     usual_ms: int
-    """Expected time to a complete response."""
+    """Expected time to complete the response."""
     longest_ms: int
-    """Expected time to the longest possible response."""
+    """Expected time to complete the longest possible response."""
 
 
 class RequestContext:
@@ -142,7 +142,7 @@
         """Whether it belongs to no session, so that any version may run it."""
         self.started_at = request.arrived_at
         self.attempts = 0
-        """Number of backend servers tried."""
+        """Number of attempts made, including those that were rejected or never sent."""
         self.runs = 0
         """Number of attempts that may have run."""
         self.lost_connections = 0
--- a/src/baobabthread/instance/crashes.py
+++ b/src/baobabthread/instance/crashes.py
@@ -25,8 +25,8 @@
 that terminated has closed its other sockets."""
 RECHECK_INTERVAL_S = 0.5
 MAX_CHECK_S = 6.0
-"""Duration for which a server that can't be reached either is probed: the record of one
-that has terminated lapses within about four seconds."""
+"""Duration for which a server that can't be reached is probed: the record of one that
+has terminated lapses within about four seconds."""
 GATHER_DELAY_S = 0.03
 """Time for the other connections to a crashed server to break as well."""
 MAX_BREAK_SPREAD_S = 1.0
--- a/src/baobabthread/instance/errorresponses.py
+++ b/src/baobabthread/instance/errorresponses.py
@@ -97,6 +97,6 @@
             await context.reply.reject(status, kind, None)
 
     def _has_not_run(self, context: RequestContext) -> bool:
-        # Status 503 guarantees that the request has not run: callers then repeat even
-        # a warning that must not be sent twice.
+        # Status 503 guarantees that the request has not run: callers then retry even
+        # requests that must not take effect twice, such as sending a warning.
         return context.runs == 0 and not context.reply.has_begun
--- a/src/baobabthread/instance/estimates.py
+++ b/src/baobabthread/instance/estimates.py
@@ -13,14 +13,14 @@
 deployment are faster. An instance that has just started has no better estimate, and a
 stream that is cut by its stop is lost."""
 LENGTH_FACTOR = 3.0
-"""Multiple of its caller's estimate that a response without a limit may reach."""
+"""Multiple of the estimated length that a response without a limit may reach."""
 MIN_LATENCY_S = 0.01
 """Latency of a response in addition to the reading of its prompt."""
 COST_SMOOTHING_FRACTION = 0.2
 """Weight of each new wait in the moving average of the cost of engine time."""
 FREE_WAIT_S = 0.24
-"""Wait at the best engine up to which engine time costs nothing: any prompt waits as
-long while others are read, an eighth of the shortest latency objectives of models."""
+"""Wait at the best engine up to which engine time costs nothing: any prompt waits that
+long while others are read, an eighth of the models' shortest latency objectives."""
 FULL_COST_WAIT_S = 1.6
 """Wait beyond `FREE_WAIT_S` at the best engine at which a larger model's response must
 be better by the full value of a response: each prompt then delays all that follow."""
@@ -114,7 +114,8 @@
 
         `wait_s` is the wait at the best engine, and `reading_s` the time that the
         largest model needs there to read the prompt. Faster models and cached prompts
-        cost less. Without the mechanism the result is empty.
+        cost less. The result is empty if the mechanism is disabled; otherwise the
+        moving average of the cost is updated.
         """
         if Mechanism.MODEL_COST in disabled:
             return ()
@@ -135,7 +136,7 @@
         return self._event_gaps.timeout_s(context.service)
 
     def observe_event_gap(self, context: RequestContext, gap_s: float) -> None:
-        """Learn from a gap between events, including one at which it was abandoned."""
+        """Learn from a gap between events, also if the stream was abandoned in it."""
         self._event_gaps.observe(context.service, gap_s)
 
     def observe_response(self, context: RequestContext, duration_s: float) -> None:
--- a/src/baobabthread/instance/forwarder.py
+++ b/src/baobabthread/instance/forwarder.py
@@ -47,7 +47,7 @@
 FINAL_RESPONSE_TIMEOUT_S = 0.2
 """Time to send the final responses when an instance terminates."""
 MAX_BACKENDS_TRIED = 6
-"""Backend servers that a request is sent to, including those that reject it."""
+"""Backend servers that a request is sent to at most, including any that reject it."""
 
 
 class Forwarder:
@@ -103,7 +103,7 @@
             models=models,
             rng=rng,
         )
-        self.turns = RequestScheduler(
+        self.scheduler = RequestScheduler(
             services=services,
             estimates=self._estimates,
             error_responses=self._error_responses,
@@ -143,7 +143,7 @@
         return len(self._running)
 
     async def wait_idle(self, timeout_s: float) -> None:
-        """Wait until no request is in flight, or until the time-out in seconds."""
+        """Wait until no request is in flight, or until the timeout in seconds."""
         if not self.in_flight:
             return
         self._idle = asyncio.Event()
@@ -152,7 +152,7 @@
                 await self._idle.wait()
 
     async def shut_down(self) -> None:
-        """Abort requests in flight; each response states whether the request ran."""
+        """Abort requests in flight; each response states whether it may have run."""
         self._is_shutting_down = True
         for task in list(self._running):
             task.cancel()
@@ -178,17 +178,17 @@
 
     async def _queue_and_run(self, context: RequestContext) -> None:
         state = self._services.get(context.service)
-        ticket = await self.turns.wait(context, state)
+        ticket = await self.scheduler.wait(context, state)
         if ticket is None:
             return
         try:
             await self._run_attempts(context, state)
         finally:
             context.release_exposure()
-            self.turns.finish(ticket, context, state)
+            self.scheduler.finish(ticket, context, state)
 
     async def _reject_quarantined(self, context: RequestContext) -> bool:
-        """Reject a request that crashes backend servers; return whether it does.
+        """Reject a request if it is quarantined; return whether it is.
 
         This is checked on arrival, before each attempt and after each failure: requests
         may get quarantined while they wait or run, and every attempt costs a server.
@@ -312,7 +312,7 @@
         )
 
     def _report_session_use(self, context: RequestContext, state: ServiceState) -> None:
-        """Report the version that a request uses to the owner of its session."""
+        """Report the version that a request uses to the owners of its session."""
         if context.is_sessionless:
             return
         if context.on_new_version:
--- a/src/baobabthread/instance/logoutput.py
+++ b/src/baobabthread/instance/logoutput.py
@@ -20,7 +20,7 @@
 
 
 class BufferedHandler(logging.Handler):
-    """Buffers lines and writes what the descriptor accepts without blocking."""
+    """Buffer lines and write what the descriptor accepts without blocking."""
 
     def __init__(self, *, descriptor: int) -> None:
         super().__init__()
--- a/src/baobabthread/instance/peers.py
+++ b/src/baobabthread/instance/peers.py
@@ -74,7 +74,7 @@
 TICK_INTERVAL_S = 0.05
 MAX_DATAGRAM_BYTES = 60_000
 CONNECT_TIMEOUT_S = 0.4
-"""Timeout for connecting to a peer."""
+"""Timeout for connecting to a peer; a later fetch may choose another one."""
 FETCH_TIMEOUT_S = 2.0
 """Timeout of a peer's response: a large configuration takes half a second or more over
 the slowest links."""
--- a/src/baobabthread/instance/placement.py
+++ b/src/baobabthread/instance/placement.py
@@ -23,7 +23,8 @@
 
 REPLY_TIMEOUT_S = 0.02
 """Time for the replies of all owners: several round trips between failure domains, and
-a hundredth of the shortest latency objectives. No silent owner costs more than this."""
+a hundredth of the shortest latency objectives. Owners that don't reply delay a query
+by no more than this."""
 OWNER_BACKOFF_S = 1.0
 """Time for which an owner that did not reply isn't queried: it is paused or down."""
 
@@ -31,7 +32,7 @@
 
 
 class LoadsRequest(msgspec.Struct, frozen=True, kw_only=True, tag="loads.ask"):
-    """Request the load of engines, as a prompt with these parts would find it."""
+    """Request the load of engines for a prompt that consists of these parts."""
 
     sequence: int
     engines: list[str]
@@ -73,7 +74,7 @@
 
 
 class Placement:
-    """Query and report loads of engines, and keep those that this instance owns."""
+    """Query and report the load of engines, and track it for those owned here."""
 
     __slots__ = (
         "_backoff_until",
@@ -219,7 +220,7 @@
         self._loads.find(message.engine, now()).place(sender, message.placed, now())
 
     def handle_ended(self, sender: str, message: PromptEnded) -> None:
-        """Remove a prompt from the load of an owned engine."""
+        """Record how the reading of a prompt ended at an owned engine."""
         self._loads.find(message.engine, now()).end(
             sender, message.number, message.end, now()
         )
@@ -232,7 +233,7 @@
 
 
 class PlacedPrompt:
-    """A prompt that was reported to an engine's owner and whose reading may go on."""
+    """A prompt that was reported to an engine's owner, until its reading ends."""
 
     __slots__ = ("_engine", "_is_open", "_number", "_placement")
 
--- a/src/baobabthread/instance/process.py
+++ b/src/baobabthread/instance/process.py
@@ -124,7 +124,7 @@
             services=self.services,
             wire=self._wire,
             rng=rng,
-            log=RequestLog(knowledge=self.replica, metrics=self.metrics),
+            log=RequestLog(replica=self.replica, metrics=self.metrics),
             sessions=self.peers.sessions,
             placement=self.peers.placement,
             crashes=self.crashes,
@@ -358,7 +358,7 @@
             if inputs != self._capacity_inputs:
                 self._capacity_inputs = inputs
                 self.services.set_instance_count(inputs[0])
-            self.forwarder.turns.tick()
+            self.forwarder.scheduler.tick()
             self.staleness.tick(is_stale=not self.replica.is_fresh(now()))
             await asyncio.sleep(TICK_INTERVAL_S)
 
--- a/src/baobabthread/instance/quarantine.py
+++ b/src/baobabthread/instance/quarantine.py
@@ -53,7 +53,7 @@
 class QuarantineEntries(
     msgspec.Struct, frozen=True, kw_only=True, tag="quarantine.are"
 ):
-    """Carry the complete list of the sender, or only entries that changed."""
+    """Carry the complete list of the sender, or entries that the receiver may lack."""
 
     entries: list[QuarantineEntry]
     is_complete: bool = False
@@ -171,8 +171,8 @@
         for service, version in self._analysis.list_unproven_crashes(
             timestamp, quarantined
         ):
-            # Only the first owner counts it: a crash that every instance reports is
-            # still a single failure.
+            # Only the first owner counts it: a crash that several instances report to
+            # all owners is still a single failure.
             if self._find_owners(service)[:1] == [self._me]:
                 self.on_unproven_crash(service, version)
 
@@ -296,7 +296,8 @@
         self._publications[entry.fingerprint] = _Publication(
             entry=entry, sent_count=0, sent_at=-1e9
         )
-        # This may release the request at once; the release then replaces the entry.
+        # This may release the request at once; the release is then published instead of
+        # the entry.
         self._process_change(entry)
         self._publish_due(now())
 
--- a/src/baobabthread/instance/quarantinerecords.py
+++ b/src/baobabthread/instance/quarantinerecords.py
@@ -30,7 +30,7 @@
 
 
 class QuarantineRecords:
-    """Read the stored quarantine at a start, and write entries that are missing."""
+    """Read the stored quarantine at start-up, and write entries that are missing."""
 
     def __init__(
         self,
@@ -94,8 +94,8 @@
 
     def _decode(self, page: Page) -> dict[str, QuarantineEntry]:
         entries = {}
-        # Machine clocks may jump; a difference of an hour does not quarantine a request
-        # forever.
+        # Stored entries end at a wall-clock time. Machine clocks may jump, but an error
+        # of an hour only shifts that end; it quarantines no request forever.
         unix_now = time.time()
         for record in page.records:
             try:
--- a/src/baobabthread/instance/replicasync.py
+++ b/src/baobabthread/instance/replicasync.py
@@ -78,7 +78,7 @@
     """Offset of the last read that changed a backend server's record."""
     backends_age_s: float
     since: int = -1
-    """Offset since which all changes are included; -1 if there are too many."""
+    """Offset since which all changes are included; -1 if too many or not known."""
     changed: list[BackendRecord] = []
     gone: list[str] = []
     steps: list[OperatorDelta] = []
--- a/src/baobabthread/instance/requestlog.py
+++ b/src/baobabthread/instance/requestlog.py
@@ -46,7 +46,7 @@
 
 
 class RequestLog:
-    """Logs and counts the outcome of requests, with the facts that decided it."""
+    """Log and count the outcome of requests, with the facts that decided it."""
 
     __slots__ = (
         "_choice_limiter",
@@ -56,8 +56,8 @@
         "_success_limiter",
     )
 
-    def __init__(self, *, knowledge: StateReplica, metrics: Metrics) -> None:
-        self._replica = knowledge
+    def __init__(self, *, replica: StateReplica, metrics: Metrics) -> None:
+        self._replica = replica
         self._metrics = metrics
         self._failure_limiter = LineRateLimiter(per_s=FAILURE_LINES_PER_S)
         self._success_limiter = LineRateLimiter(per_s=SUCCESS_LINES_PER_S)
--- a/src/baobabthread/instance/responses.py
+++ b/src/baobabthread/instance/responses.py
@@ -90,7 +90,8 @@
         body = await attempt.read_body(MAX_RESPONSE_BYTES)
         context.timeline.append(f"{attempt.link.record.id}:status {head.status}")
         may_retry = context.route.may_retry and context.has_attempts_left
-        # If no other server is left, this server's own error tells the caller most.
+        # If no other server is left, this server's own error is more useful to the
+        # caller than one of this instance.
         has_alternative = may_retry and self._selection.has_alternative(
             context, attempt.link
         )
@@ -151,10 +152,10 @@
     async def _estimate_escalation(
         self, context: RequestContext, head: ResponseHead, pending: PendingResponse
     ) -> PendingResponse:
-        """Add the remaining part of the latency objective and the cost of each model.
+        """Add the remaining fraction of the latency objective and each model's cost.
 
         If no owner of an engine replies, the wait is expected to be as long as that of
-        this attempt without the reading of its prompt.
+        this attempt, without the time to read its prompt.
         """
         largest = context.route.models[-1]
         estimate = await self._selection.estimate_wait(context, largest)
@@ -182,15 +183,15 @@
             headers = self._wire.filter_response_headers(head.response.raw_headers)
             context.head_s = now() - context.started_at
             await reply.begin(head.status, headers)
-        cutter = EventSplitter(last_forwarded_id=context.last_event)
+        splitter = EventSplitter(last_forwarded_id=context.last_event)
         first_at = now()
         while chunk := await self._read_stream_chunk(context, attempt):
-            events = cutter.feed(chunk)
+            events = splitter.feed(chunk)
             if events.data:
                 await reply.write(events.data)
             if events.last_id is not None:
                 context.last_event = events.last_id
-        if not cutter.is_drained:
+        if not splitter.is_drained:
             raise IncompleteResponseError("stream ended within an event")
         attempt.finish()
         self._estimates.observe_stream(context, head.latency_s, now() - first_at)
--- a/src/baobabthread/instance/restrictions.py
+++ b/src/baobabthread/instance/restrictions.py
@@ -84,7 +84,7 @@
     def list_restricted(
         self, allowed_regions: AllowedRegions, now: float
     ) -> frozenset[str]:
-        """Return incarnations that must not get a request for these regions now."""
+        """Return incarnations that must not get a request with these regions now."""
         if not self._cold:
             return self._list_outside_regions(allowed_regions)
         closed = [name for name in self._cold if not self._is_window_open(name, now)]
--- a/src/baobabthread/instance/rollouts.py
+++ b/src/baobabthread/instance/rollouts.py
@@ -50,7 +50,7 @@
         self._peers = peers
         self._store = store
         self._formats = formats
-        self._written: dict[str, RolloutStatus] = {}
+        self._stored: dict[str, RolloutStatus] = {}
         self._initial_orders: frozenset[int] | None = None
         """Numbers of the orders that came with this instance's first configuration."""
         self._has_loaded_statuses = False
@@ -58,7 +58,7 @@
         self._logged_permits: dict[str, bool] = {}
         self._published_at: dict[str, float] = {}
         self._confirmation = RolloutConfirmation(
-            store=store, formats=formats, handle_final_status=self._record_written
+            store=store, formats=formats, handle_final_status=self._record_stored
         )
         self._totals = RolloutTotals()
         self._wake_up = asyncio.Event()
@@ -113,7 +113,7 @@
         alive = self._peers.membership.alive()
         self._totals.update_members([member.name for member in alive], now_s)
         if self._initial_orders and not self._has_loaded_statuses:
-            # Only an order from before the start can have a stored status.
+            # Only orders from before the start can have statuses from before it.
             await self._load_statuses()
         for name, order in list(orders.items()):
             plan = self._services.get(name).plan
@@ -325,7 +325,7 @@
         state = evaluate_rollout(
             plan, progress_reports, other_count, now_s, totals=self._totals.find(plan)
         )
-        written = self._written.get(plan.service)
+        written = self._stored.get(plan.service)
         if (
             written is not None
             and written.number == order.number
@@ -368,17 +368,17 @@
             if stored.state is not RolloutState.RUNNING:
                 return
             if stored.state is status.state:
-                self._written[plan.service] = stored
+                self._stored[plan.service] = stored
                 return
         append = self._formats.encode_status(status, page.end)
         outcome = await self._store.append(append, STORE_TIMEOUT_S)
         if isinstance(outcome, Conflict):
             log_event("status_conflict", service=status.service, state=status.state)
             return
-        self._record_written(plan, status)
+        self._record_stored(plan, status)
 
-    def _record_written(self, plan: VersionPlan, status: RolloutStatus) -> None:
-        self._written[plan.service] = status
+    def _record_stored(self, plan: VersionPlan, status: RolloutStatus) -> None:
+        self._stored[plan.service] = status
         log_event(
             "rollout_status_written",
             service=plan.service,
@@ -394,7 +394,7 @@
             progress = plan.progress(now())
             plan.apply_status(status, now())
             if progress is not None:
-                # Gossip takes seconds among hundreds of instances.
+                # Sent directly: gossip takes seconds among hundreds of instances.
                 ended = msgspec.structs.replace(progress, state=status.state)
                 self._peers.canaries.publish_verdict(ended)
             self._peers.publish(f"status/{plan.service}", status)
--- a/src/baobabthread/instance/selection.py
+++ b/src/baobabthread/instance/selection.py
@@ -62,7 +62,7 @@
             context.may_use_non_canaries = True
             link = await self._select(context, plan)
         if link is None and context.is_canary:
-            # Busy canaries are no reason to reject what other servers can take.
+            # Busy canaries are no reason to reject a request that others can serve.
             context.may_use_new_version = False
             link = await self._select(context, plan)
             context.version_reason = VersionReason.NO_SERVER
@@ -211,11 +211,12 @@
         context.version_reason = VersionReason.NO_ROLLOUT
         if order is None:
             # A stream that starts now may break after a roll-out was ordered. Resumed
-            # on the new version, it would mix two versions, and be lost if that is bad.
+            # on the new version, it would mix the output of two versions, and it would
+            # be lost if the new one is bad.
             context.on_new_version = False
             return plan.lineage.find_base(versions) if len(versions) > 1 else None
         wanted = context.may_use_new_version and _wants_new_version(context, plan)
-        # What started on the old version continues there while that is available.
+        # A request that started on the old version stays there while it has servers.
         may_change = (
             context.on_new_version is None or context.runs == 0 or plan.is_final
         )
@@ -230,8 +231,9 @@
         base = plan.lineage.find_base(versions)
         if base is None and order.target in versions and not plan.is_reverted:
             return None
-        # Without servers of the old version, requests are rejected while the new one is
-        # a canary: running all of them on an unproven version would be worse.
+        # If the old version has no servers, or all of them are evacuated, requests are
+        # rejected while the new one is a canary: running all of them on an unproven
+        # version would be worse.
         return base or plan.lineage.base or NO_VERSION
 
 
--- a/src/baobabthread/instance/sessions.py
+++ b/src/baobabthread/instance/sessions.py
@@ -4,9 +4,10 @@
 second. If each instance decided alone, one could move the session to the new version
 while another keeps it, and gossip is too slow to prevent that. Rendezvous hashing
 therefore picks two owners for each session. The first one decides, which costs a query
-and a reply for the few requests that the canary may move, and for all requests in the
-last part of a roll-out. The second one has the same information and takes over while
-the first is stopped. A session that was moved to the new version stays there.
+and a reply for the requests of the few sessions that may move to the canary, and for
+all requests of sessions near the end of a roll-out. The second one has the same
+information and takes over while the first is stopped. A session that was moved to the
+new version stays there.
 """
 
 from __future__ import annotations
@@ -172,11 +173,12 @@
                 if is_new is not None:
                     return is_new
             owners = unanswered
-        # In the second half any session may have moved, and it must not go back.
+        # In the second half any session of the canary share may have moved, and one
+        # that has must not go back.
         may_move = plan.is_past_half(now()) and plan.is_in_canary_share(session)
         if plan.pins.is_on_new(session) or may_move:
             return True
-        # An owner may have decided to move the session, with the reply lost.
+        # An owner may have decided to move the session, and its reply may be lost.
         self._report_ages(plan, {session: 0.0})
         return False
 
@@ -207,7 +209,7 @@
             self._pending.pop(query.sequence, None)
 
     def report_old(self, plan: VersionPlan, session: str) -> None:
-        """Report to a session's owners that it has a request on the old version."""
+        """Report to a session's owners that it uses or used the old version."""
         if plan.may_join_canary(session):
             self._report_ages(plan, {session: 0.0})
 
@@ -293,7 +295,7 @@
             return None
         if plan.decide(session, now()):
             return True
-        # The first owner may have moved the session, with its report lost.
+        # The first owner may have moved the session, and the report of it may be lost.
         is_first = self._find_owners(session)[0] == self._me
         return False if is_first and plan.knows_sessions_in_use(now()) else None
 
--- a/src/baobabthread/instance/store.py
+++ b/src/baobabthread/instance/store.py
@@ -73,7 +73,7 @@
 
 
 class RecordFormat(Protocol):
-    """Names the topics and translates their records.
+    """Name the topics and translate their records.
 
     Decoders raise `msgspec.MsgspecError` or `BaobabthreadError` for records that
     can't be decoded.
@@ -115,7 +115,7 @@
 
 
 class Store(Protocol):
-    """Reads and appends records of keyed topics; each call may raise `StoreError`."""
+    """Read and append records of keyed topics; each call may raise `StoreError`."""
 
     async def newest(self, topic: str, timeout_s: float) -> Page:
         """Return the newest record of each key."""
--- a/src/baobabthread/instance/topicreaders.py
+++ b/src/baobabthread/instance/topicreaders.py
@@ -46,8 +46,9 @@
 second to an unavailable store, regardless of their number. Readers detect that the
 store has recovered, and the others learn it from them."""
 FIRST_BACKOFF_FRACTION = 0.25
-"""Fraction of the longest back-off after the first failure. A back-off that starts at a
-tenth of a second causes about six calls per instance at the start of every outage."""
+"""Smallest back-off as a fraction of the longest, for instances without an urgent read.
+A back-off that starts at a tenth of a second causes about six calls per instance at the
+start of every outage."""
 MIN_RELOAD_LAG = 2
 """Number of records behind from which only the newest record of each key is read: of
 several large configurations only the last one matters, and reading all of them would
@@ -303,7 +304,7 @@
         )
 
     def _skip(self, record: Record) -> None:
-        """Keep the state in force, the operators' last one that could be decoded."""
+        """Keep the operators' last state that could be decoded in force."""
 
     def _record_read(self, end: int, requested_at: float) -> None:
         self._replica.record_operators_read(end=end, requested_at=requested_at)
@@ -349,9 +350,9 @@
                 leaving=backend.leaving,
                 offset=record.offset,
             )
-        self._apply_warm_up(backend)
+        self._apply_warmup(backend)
 
-    def _apply_warm_up(self, backend: BackendRecord) -> None:
+    def _apply_warmup(self, backend: BackendRecord) -> None:
         left_s = backend.warmup_left_s
         if not 0.0 <= left_s <= MAX_WARMUP_S:
             log_event(
--- a/src/baobabthread/instance/wire.py
+++ b/src/baobabthread/instance/wire.py
@@ -45,7 +45,7 @@
 
 
 class WireFormat(Protocol):
-    """Encodes and decodes the header fields of requests and responses."""
+    """Encode and decode the header fields of requests and responses."""
 
     def decode_envelope(self, headers: Mapping[str, str]) -> Envelope:
         """Decode the headers of a caller's request."""
--- a/tests/instance/__init__.py
+++ b/tests/instance/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package of this name."""
+"""Tests of `baobabthread.instance`."""
--- a/tests/instance/test_canaries.py
+++ b/tests/instance/test_canaries.py
@@ -96,17 +96,17 @@
         for name, coordinator in coordinators.all.items():
             coordinator.send_report(make_report(name, elapsed_s=clock.time))
         clock.time += 0.25
-    leader, deputy = coordinators.all["i0"].leaders("s")
+    leader, standby = coordinators.all["i0"].leaders("s")
     assert len(coordinators.all[leader].reports("s", 1)) == 199
-    assert len(coordinators.all[deputy].reports("s", 1)) == 199
+    assert len(coordinators.all[standby].reports("s", 1)) == 199
     assert len(coordinators.sent) <= 5 * 2 * 200
 
 
 def test_report_again_when_the_leader_changes(clock: Clock) -> None:
     """The leader fails in the middle of a roll-out, and nothing has changed since.
 
-    The next instance in line already has all reports, and the one that moves up
-    receives them.
+    The next instance in line already has all reports, and the one that becomes next in
+    line must receive them as well.
     """
     coordinators = Coordinators(20)
     names = list(coordinators.all)
@@ -197,7 +197,7 @@
 
 
 def test_send_a_lost_report_once_more(clock: Clock) -> None:
-    """Of two hundred instances, one loses a report just before its permit expires.
+    """One of two hundred instances loses a report, and its permit is about to expire.
 
     The next report is due after a second, so the permit would expire before it.
     """
@@ -247,7 +247,10 @@
 
 
 def test_standbys_replace_a_leader_without_permits(clock: Clock) -> None:
-    """The leader can't reach the store, and the permits of all instances expire."""
+    """The leader can't reach the store, so the permits of all instances expire at once.
+
+    If no standby sent permits, the canary would pause everywhere.
+    """
     coordinators = Coordinators(20)
     name = choose_follower(coordinators)
     leader, *others = coordinators.rank()
--- a/tests/instance/test_placement.py
+++ b/tests/instance/test_placement.py
@@ -81,7 +81,7 @@
 def test_silent_owner_is_not_queried_again() -> None:
     """An owner is paused: only the loads of its engines are unknown.
 
-    The first query waits for it until the time-out; the following ones don't.
+    The first query waits for it until the timeout; the following ones don't.
     """
 
     async def case() -> None:
--- a/tests/instance/test_quarantine.py
+++ b/tests/instance/test_quarantine.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from baobabthread.instance import quarantine as module
+from baobabthread.instance import quarantine
 from baobabthread.instance.clock import now
 from baobabthread.instance.quarantine import (
     QuarantineCoordinator,
@@ -63,8 +63,8 @@
 def test_no_quarantine_after_the_crashed_version_was_rolled_back() -> None:
     """The version is rolled back between its last crash and the evaluation.
 
-    Owners evaluate one after the other; a later one must not take it for a proven
-    version.
+    Owners evaluate one after the other. If a later one took the version for a proven
+    one, it would quarantine good requests.
     """
     coordinator, _ = make_coordinator()
     plan = VersionPlan(service="s", bounds=RoutingBounds())
@@ -86,7 +86,7 @@
         service="s", target="v2", state=RolloutState.REVERTED, number=1
     )
     plan.apply_status(status, now())
-    time.sleep(SETTLE_S + module.OWNER_COUNT * module.OWNER_STAGGER_S)
+    time.sleep(SETTLE_S + quarantine.OWNER_COUNT * quarantine.OWNER_STAGGER_S)
     coordinator.tick()
     assert not coordinator.has_entries
 
@@ -94,7 +94,7 @@
 def test_recently_answered_request_is_released() -> None:
     """An owner quarantines a popular request that this instance has just answered.
 
-    The instance must publish the release, not the entry that it received.
+    This instance must publish the release, not the entry that it received.
     """
     coordinator, sent = make_coordinator()
     coordinator.was_answered = lambda fingerprint: fingerprint == "f1"
@@ -141,7 +141,7 @@
     coordinator.tick()
     assert [type(message) for _, message in sent.messages] == [QuarantineDigest]
     assert not coordinator.must_read_store
-    coordinator._started_at -= module.PEER_LIST_TIMEOUT_S + 0.1
+    coordinator._started_at -= quarantine.PEER_LIST_TIMEOUT_S + 0.1
     assert coordinator.must_read_store
     coordinator.handle_entries("b", QuarantineEntries(entries=[], is_complete=True))
     assert not coordinator.must_read_store
@@ -165,6 +165,6 @@
         )
         coordinator.report_crash(crash)
     coordinator.was_answered = lambda fingerprint: True
-    time.sleep(SETTLE_S + module.OWNER_STAGGER_S + 0.05)
+    time.sleep(SETTLE_S + quarantine.OWNER_STAGGER_S + 0.05)
     coordinator.tick()
     assert [entry.is_cleared for entry in sent.entries()] == [True]
--- a/tests/instance/test_replicasync.py
+++ b/tests/instance/test_replicasync.py
@@ -216,7 +216,8 @@
 def test_do_not_read_for_others_before_discovery(clock: Clock) -> None:
     """All instances start together and need half a second to discover each other.
 
-    Each one that assumed to be alone would read twice a second on behalf of all others.
+    Each one that took itself for the only instance would read the store twice a second
+    on behalf of all others.
     """
     replica = StateReplica(bounds=RoutingBounds())
     sync = ReplicaSync(
@@ -249,7 +250,7 @@
 def test_send_only_the_changed_records(clock: Clock) -> None:
     """Backend servers leave one after the other in a system of two hundred instances.
 
-    If all instances fetched the full list for each change, ten changes took 20 MB.
+    If all instances fetched the full list each time, ten changes would take 20 MB.
     """
     readers, others = make_members()
     reader, member = readers[0], others[0]
@@ -289,8 +290,8 @@
     return reply
 
 
-@pytest.mark.parametrize("by_list", [False, True])
-def test_pass_on_a_delayed_removal(clock: Clock, by_list: bool) -> None:
+@pytest.mark.parametrize("by_snapshot", [False, True])
+def test_pass_on_a_delayed_removal(clock: Clock, by_snapshot: bool) -> None:
     """A server crashes and its record lapses while the reader's reads are slow.
 
     The reader keeps the server for two seconds, since records also lapse when the store
@@ -308,7 +309,7 @@
     reader.read(5, clock.time)
     reader.replica.remove_backend("b2", clock.time)
     reader.read(7, clock.time)
-    if by_list:
+    if by_snapshot:
         snapshot = reader.replica.snapshot(clock.time)
         member.replica.merge(snapshot, requested_at=clock.time, now=clock.time)
     else:
--- a/tests/instance/test_sessions.py
+++ b/tests/instance/test_sessions.py
@@ -33,8 +33,8 @@
     def __init__(self) -> None:
         self.plans: dict[str, VersionPlan] = {}
         self.coordinators: dict[str, SessionCoordinator] = {}
-        self.lost = False
-        self.lose: Counter[type] = Counter()
+        self.loses_all = False
+        self.losses_left: Counter[type] = Counter()
         """Number of the next messages to lose, by type."""
         self.count = 0
         for name in NAMES:
@@ -56,10 +56,10 @@
 
     def deliver(self, sender: str, to: str, message: msgspec.Struct) -> None:
         self.count += 1
-        if self.lost:
+        if self.loses_all:
             return
-        if self.lose[type(message)] > 0:
-            self.lose[type(message)] -= 1
+        if self.losses_left[type(message)] > 0:
+            self.losses_left[type(message)] -= 1
             return
         self.coordinators[to].handle(sender, message)
 
@@ -120,7 +120,7 @@
 def test_keep_the_old_version_without_a_reply() -> None:
     async def case() -> None:
         network = Network()
-        network.lost = True
+        network.loses_all = True
         contested = find_contested(network)
         coordinator, plan = network.coordinators["i1"], network.plans["i1"]
         decided = [await coordinator.decide(plan, session) for session in contested[:6]]
@@ -144,9 +144,9 @@
         contested = find_contested(network)
         for session in contested:
             plan.record_old_started(session, now())
-        network.lost = True
+        network.loses_all = True
         coordinator.report_in_use(plan)
-        network.lost = False
+        network.loses_all = False
         later = now() + sessions.RESEND_INTERVAL_S
         monkeypatch.setattr(sessions, "now", lambda: later)
         coordinator.tick()
@@ -163,7 +163,7 @@
 
 
 def test_query_the_second_owner_if_the_first_started_after_the_order() -> None:
-    """The first owner is restarted and is back before half of the roll-out.
+    """The first owner is restarted in the first half of the roll-out.
 
     It knows no session in use, so by its decision all of them would move.
     """
@@ -201,7 +201,7 @@
         coordinator, plan = network.coordinators["i1"], network.plans["i1"]
         session = next(s for s in find_contested(network) if rank(s, NAMES)[0] == "i3")
         network.coordinators["i1"].set_members(["i1", "i3"])
-        network.lose[VersionReply] = 2
+        network.losses_left[VersionReply] = 2
         network.plans["i1"].served_before_order = False
         assert not await coordinator.decide(plan, session)
         assert not await network.coordinators["i2"].decide(network.plans["i2"], session)
@@ -217,7 +217,7 @@
         coordinator, plan = network.coordinators["i1"], network.plans["i1"]
         session, _, _ = find_remote_session(network)
         assert await network.coordinators["i2"].decide(network.plans["i2"], session)
-        network.lose[VersionQuery] = 2
+        network.losses_left[VersionQuery] = 2
         assert await coordinator.decide(plan, session)
 
     asyncio.run(case())
@@ -230,7 +230,7 @@
         session, _, _ = find_remote_session(network)
         assert await coordinator.decide(plan, session)
         coordinator.report_new(plan, session)
-        network.lost = True
+        network.loses_all = True
         assert await coordinator.decide(plan, session)
 
     asyncio.run(case())
@@ -278,7 +278,10 @@
 
 
 def test_keep_ineligible_sessions_in_the_second_half() -> None:
-    """Restarted owners would move all sessions to the canary in its last part."""
+    """All owners were restarted and know of no session that has moved.
+
+    In the second half they would move sessions outside the canary share as well.
+    """
 
     async def case() -> None:
         network = Network()
@@ -355,7 +358,10 @@
 
 
 def test_prefer_the_first_owner_for_sessions_that_it_moved() -> None:
-    """A query is lost in the final phase: the second owner would send it back."""
+    """A query to the first owner is lost in the final phase.
+
+    The second owner would send the session back to the old version.
+    """
 
     async def case() -> None:
         network = Network()
@@ -365,7 +371,7 @@
         network.plans[first].final_budget = FinalPhaseBudget(quota=9.0)
         coordinator, plan = network.coordinators["i1"], network.plans["i1"]
         assert await coordinator.decide(plan, session)
-        network.lose[VersionQuery] = 1
+        network.losses_left[VersionQuery] = 1
         assert await coordinator.decide(plan, session)
         assert not network.plans[second].pins.is_admitted(session)
 
@@ -379,7 +385,7 @@
         for plan in network.plans.values():
             plan.begin_final_phase(now(), quota=0.0)
         network.plans[second].final_budget = FinalPhaseBudget(quota=9.0)
-        network.lose[VersionQuery] = 1
+        network.losses_left[VersionQuery] = 1
         coordinator, plan = network.coordinators["i1"], network.plans["i1"]
         assert await coordinator.decide(plan, session)
         coordinator.report_new(plan, session)
--- a/tests/instance/test_staleness.py
+++ b/tests/instance/test_staleness.py
@@ -72,7 +72,7 @@
 
 
 def test_expire_an_old_report(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An instance becomes fresh again, and its report of that is lost.
+    """An instance becomes fresh again, and its report of the change is lost.
 
     If the old report stayed valid, callers would never be sent to the instance again.
     """
