--- a/tests/platform/test_crashes.py
+++ b/tests/platform/test_crashes.py
@@ -93,7 +93,7 @@
     )
 
 
-async def send_good_requests(
+async def send_good(
     site: Site, path: str, responses: list[CallerResponse | None]
 ) -> None:
     """Send harmless requests of the same account until cancelled."""
@@ -130,7 +130,7 @@
     async def case() -> None:
         async with open_restarting_backends(service=service) as (site, backends):
             good: list[CallerResponse | None] = []
-            sending = asyncio.ensure_future(send_good_requests(site, path, good))
+            sending = asyncio.ensure_future(send_good(site, path, good))
             await asyncio.sleep(0.3)
             await send_repeatedly(site, path, at_once=at_once)
             sending.cancel()
@@ -339,9 +339,7 @@
         async with open_restarting_backends(service="plain") as (site, _):
             bad = await roll_out_crashing(site)
             responses: list[CallerResponse | None] = []
-            sending = asyncio.ensure_future(
-                send_good_requests(site, "/safe/x", responses)
-            )
+            sending = asyncio.ensure_future(send_good(site, "/safe/x", responses))
             await wait_for(lambda: len(bad.crashes) >= 2, 20.0)
             await wait_for(
                 lambda: site.store.status("plain").get("state") == "reverted", 12.0
@@ -367,9 +365,7 @@
         async with open_restarting_backends(service="plain") as (site, _):
             bad = await roll_out_crashing(site)
             responses: list[CallerResponse | None] = []
-            sending = asyncio.ensure_future(
-                send_good_requests(site, "/safe/x", responses)
-            )
+            sending = asyncio.ensure_future(send_good(site, "/safe/x", responses))
             await wait_for(
                 lambda: site.store.status("plain").get("state", "running") != "running",
                 12.0,
