--- a/src/baobabthread/instance/estimates.py
+++ b/src/baobabthread/instance/estimates.py
@@ -13,7 +13,7 @@
 deployment are faster. An instance that has just started has no better estimate, and a
 stream that is cut by its stop is lost."""
 LENGTH_FACTOR = 3.0
-"""Multiple of the estimated length that a response without a limit may reach."""
+"""Multiple of the caller's length estimate that an unlimited response may reach."""
 MIN_LATENCY_S = 0.01
 """Latency of a response in addition to the reading of its prompt."""
 COST_SMOOTHING_FRACTION = 0.2
--- a/src/baobabthread/instance/placement.py
+++ b/src/baobabthread/instance/placement.py
@@ -32,7 +32,7 @@
 
 
 class LoadsRequest(msgspec.Struct, frozen=True, kw_only=True, tag="loads.ask"):
-    """Request the load of engines for a prompt that consists of these parts."""
+    """Request the load of engines for a prompt that begins with these parts."""
 
     sequence: int
     engines: list[str]
--- a/src/baobabthread/instance/scheduler.py
+++ b/src/baobabthread/instance/scheduler.py
@@ -83,7 +83,7 @@
         return ticket
 
     def finish(self, ticket: str, context: RequestContext, state: ServiceState) -> None:
-        """Release a request's place and start the next request."""
+        """Release a request's place and start those that may run now."""
         state.queue.finish(ticket, context.work_ms, now())
         self._start_ready(state)
 
--- a/src/baobabthread/instance/topicreaders.py
+++ b/src/baobabthread/instance/topicreaders.py
@@ -304,7 +304,7 @@
         )
 
     def _skip(self, record: Record) -> None:
-        """Keep the operators' last state that could be decoded in force."""
+        """Change nothing: the last state that could be decoded stays in force."""
 
     def _record_read(self, end: int, requested_at: float) -> None:
         self._replica.record_operators_read(end=end, requested_at=requested_at)
--- a/tests/instance/test_selection.py
+++ b/tests/instance/test_selection.py
@@ -110,7 +110,7 @@
     assert context.version_reason is VersionReason.ROLLED_BACK
 
 
-def test_new_version_is_left_without_a_permit() -> None:
+def test_session_returns_to_the_old_version_without_a_permit() -> None:
     backends, plan = FakeBackends(), make_plan()
     plan.permission = Permission()
     context = make_context_on_new_version()
